--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -100,7 +100,7 @@
 
     async fn learn_from_upstreams(self: &Rc<Self>) {
         let Some(rules) = self.delivering.rules.current() else { return };
-        let keeps_prompts = |pool: &_| rules.rules.pools.get(pool).is_some_and(|rule| rule.keeps_prompts);
+        let keeps_prompts = |pool: &_| rules.rules.pools.get(pool).is_some_and(|rule| rule.caches_prompts);
         for asked in self.delivering.upstreams.keeping(keeps_prompts).chunks(ASKED_AT_ONCE) {
             let listings: Vec<_> = asked.iter().map(|upstream| self.learn_from_upstream(upstream)).collect();
             for listing in listings {
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -143,7 +143,7 @@
     request: Request<Body>,
 ) -> Result<(Response<Incoming>, Connection), Ended> {
     let address = chosen.entry.address;
-    let connecting = if turn.route.kind.is_repeatable() {
+    let connecting = if turn.route.kind.is_retryable() {
         delivering.pool.connection(address).await
     } else {
         delivering.pool.connection_used_within(address, FRESH_CONNECTION).await
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -14,7 +14,7 @@
 use bendhinge_fleet::UpstreamFailure;
 use bendhinge_http::{Body, Pool, Tasks, full_body};
 use bendhinge_ids::{Instant, NameHash, PoolName, RequestDigest};
-use bendhinge_routes::{Customer, Regions, Route};
+use bendhinge_routes::{AllowedRegions, Customer, Route};
 use bytes::Bytes;
 use hyper::Response;
 use hyper::http::request;
@@ -94,7 +94,7 @@
     /// of their load. Engines that keep prompts say it, and an answer of theirs is late for other reasons, too.
     fn is_paced(&self, pool: &PoolName) -> bool {
         let rules = self.rules.current();
-        rules.is_some_and(|current| current.rules.pools.get(pool).is_none_or(|rule| !rule.keeps_prompts))
+        rules.is_some_and(|current| current.rules.pools.get(pool).is_none_or(|rule| !rule.caches_prompts))
     }
 }
 
@@ -111,11 +111,11 @@
             return false;
         }
         let Some(current) = rules.current() else { return false };
-        current.rules.customers.holder(key).is_some_and(|holder| holder.name == customer.name)
+        current.rules.customers.find_by_key(key).is_some_and(|holder| holder.name == customer.name)
     }
 
     /// Where it may run, by its route and by its customer.
-    fn regions(&self) -> [&Regions; 2] {
+    fn regions(&self) -> [&AllowedRegions; 2] {
         let route = &self.route.regions;
         [route, self.customer.as_ref().map_or(route, |customer| &customer.regions)]
     }
@@ -161,8 +161,8 @@
     }
     delivering.metrics.request();
     let course = Course::new(bendhinge_delivery::CourseRules {
-        repeatable: turn.route.kind.is_repeatable(),
-        attempts: turn.route.attempts,
+        repeatable: turn.route.kind.is_retryable(),
+        attempts: turn.route.max_attempts,
     });
     let line = RequestLine::new(&turn);
     let turn = Arc::new(turn);
@@ -287,7 +287,7 @@
     fn patience(&self) -> Duration {
         /// The part of the route's target: what is left of it must do for the other's answer.
         const SHARE_OF_TARGET: f64 = 0.7;
-        self.turn.route.target.mul_f64(SHARE_OF_TARGET)
+        self.turn.route.target_latency.mul_f64(SHARE_OF_TARGET)
     }
 
     /// A send beside one that is silent; `None` if it cannot be made.
@@ -382,7 +382,7 @@
             return;
         }
         let Turn { pool, began, route, .. } = &*self.turn;
-        self.delivering.pacing.answered(pool, *began, route.target);
+        self.delivering.pacing.answered(pool, *began, route.target_latency);
     }
 
     /// Notes that an upstream answered the request to the end, and so did not crash under it.
--- a/crates/bendhinge_gateway/src/intake/mod.rs
+++ b/crates/bendhinge_gateway/src/intake/mod.rs
@@ -178,11 +178,11 @@
 ) -> Result<Option<Arc<Customer>>, Refused> {
     let customers = &current.rules.customers;
     match &call.key {
-        Some(key) if customers.is_in_use() => match customers.holder(key) {
+        Some(key) if customers.requires_key() => match customers.find_by_key(key) {
             Some(customer) => Ok(Some(Arc::clone(customer))),
             None => Err(ResultCode::NoKey.into()),
         },
-        None if customers.is_in_use() && !route.is_open => Err(ResultCode::NoKey.into()),
+        None if customers.requires_key() && !route.allow_anonymous => Err(ResultCode::NoKey.into()),
         _ => Ok(None),
     }
 }
@@ -210,7 +210,7 @@
 
 async fn read(body: Incoming, limits: &CallerLimits, limit: Instant) -> Result<Bytes, Refused> {
     let reading = async {
-        read_body(body, limits.body_bytes).await.map_err(|error| {
+        read_body(body, limits.max_body_bytes).await.map_err(|error| {
             Refused::from(match error {
                 ReadBodyError::TooLong(_) => ResultCode::BodyTooLarge,
                 ReadBodyError::Broken(_) => ResultCode::MalformedRequest,
--- a/crates/bendhinge_gateway/src/knowledge/upstreams.rs
+++ b/crates/bendhinge_gateway/src/knowledge/upstreams.rs
@@ -14,7 +14,7 @@
 use bendhinge_placement::{
     Candidate, ChoiceReason, CostRules, KeptPart, KeptParts, Prompt, Question, WarmingShare, choose,
 };
-use bendhinge_routes::{PoolRule, Regions};
+use bendhinge_routes::{AllowedRegions, PoolRule};
 use rustc_hash::FxHashMap;
 
 use super::peers::router_hash;
@@ -41,7 +41,7 @@
     pub(crate) rule: Option<&'a PoolRule>,
     pub(crate) prompt: Option<&'a Prompt>,
     /// Where it may run, by its route and by its customer: each binds.
-    pub(crate) regions: [&'a Regions; 2],
+    pub(crate) regions: [&'a AllowedRegions; 2],
     /// Upstreams that were tried already.
     pub(crate) tried: &'a [NameHash],
     /// Whether the request may be an upstream's trial: it can be sent again if that fails.
@@ -213,8 +213,8 @@
         let (listed, candidates) = state.candidates(question, &self.regions, now);
         let list_age = state.belief.age(now).unwrap_or_default();
         let asked = Question {
-            prompt: question.prompt.filter(|_| question.rule.is_some_and(|rule| rule.keeps_prompts)),
-            can_fetch: question.rule.is_some_and(|rule| rule.moves_prompts),
+            prompt: question.prompt.filter(|_| question.rule.is_some_and(|rule| rule.caches_prompts)),
+            can_fetch: question.rule.is_some_and(|rule| rule.transfers_cached_prompts),
             tie_breaker: question.tie_breaker,
         };
         let choice = choose(&self.costs, &asked, &candidates, &state.kept, now)?;
@@ -246,7 +246,7 @@
 
     /// When the first of the pool's upstreams that take work in regions that a request may reach ends its rest, if all
     /// of them asked for one.
-    pub(crate) fn first_rest_end(&self, pool: &PoolName, allowed: [&Regions; 2]) -> Option<Instant> {
+    pub(crate) fn first_rest_end(&self, pool: &PoolName, allowed: [&AllowedRegions; 2]) -> Option<Instant> {
         let now = bendhinge_clock::now();
         let state = self.state.lock().unwrap();
         if state.rests.count(now) == 0 {
@@ -385,10 +385,10 @@
     }
 
     /// The pool's upstreams that are in a region which a request may reach.
-    fn allowed(&self, pool: &PoolName, allowed: [&Regions; 2], regions: &RegionMap) -> Vec<&Listed> {
+    fn allowed(&self, pool: &PoolName, allowed: [&AllowedRegions; 2], regions: &RegionMap) -> Vec<&Listed> {
         let is_allowed = |listed: &&Listed| {
             let region = regions.get(&listed.entry.data_centre);
-            allowed.iter().all(|allowed| allowed.allow(region))
+            allowed.iter().all(|allowed| allowed.allows(region))
         };
         let pool = self.directory.listed().iter().filter(|listed| listed.entry.pool == *pool);
         pool.filter(is_allowed).collect()
@@ -414,7 +414,7 @@
                     self.is_open(listed, now) && !question.tried.contains(&candidate.upstream);
             }
         }
-        if let Some(rate) = question.rule.and_then(|rule| rule.warming_rate) {
+        if let Some(rate) = question.rule.and_then(|rule| rule.warmup_requests_per_second) {
             let demand = self.demand.get(question.pool).map_or(0.0, |demand| demand.per_second(now));
             let share = WarmingShare { rate, demand, routers: self.gateways };
             share.spare(&mut candidates, question.tie_breaker);
--- a/crates/bendhinge_gateway/src/native/rules.rs
+++ b/crates/bendhinge_gateway/src/native/rules.rs
@@ -6,8 +6,8 @@
 use bendhinge_ids::{CustomerName, NameError, PoolName};
 use bendhinge_ini::{Document, Key, Millis, Schema, Section, SectionKind};
 use bendhinge_routes::{
-    CallerLimits, Customer, CustomerTable, PoolRule, Regions, Route, RouteKind, RouteTable, ServingRules,
-    Split, SplitPart,
+    AllowedRegions, CallerLimits, Customer, CustomerTable, PoolRule, Route, RouteKind, RouteTable,
+    ServingRules, TrafficSplit, WeightedPool,
 };
 
 use crate::dialect::TranslateError;
@@ -91,14 +91,14 @@
     }
 }
 
-struct RegionList(Regions);
+struct RegionList(AllowedRegions);
 
 impl FromStr for RegionList {
     type Err = NameError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let names = text.split(',').map(str::trim).filter(|name| !name.is_empty());
-        names.map(str::parse).collect::<Result<_, _>>().map(|names| Self(Regions::new(names)))
+        names.map(str::parse).collect::<Result<_, _>>().map(|names| Self(AllowedRegions::new(names)))
     }
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-struct WeightedPools(Split);
+struct WeightedPools(TrafficSplit);
 
 impl FromStr for WeightedPools {
     type Err = String;
@@ -128,9 +128,9 @@
             let (name, weight) = part.trim().split_once(':').unwrap_or((part.trim(), "1"));
             let pool: PoolName = name.parse().map_err(|error| format!("{error}"))?;
             let weight: f64 = weight.parse().map_err(|error| format!("'{weight}': {error}"))?;
-            Ok(SplitPart { pool, weight })
+            Ok(WeightedPool { pool, weight })
         });
-        parts.collect::<Result<_, String>>().map(|parts| Self(Split::new(parts)))
+        parts.collect::<Result<_, String>>().map(|parts| Self(TrafficSplit::new(parts)))
     }
 }
 
@@ -169,7 +169,7 @@
         let body_bytes = self.0.byte_count(section, "body_bytes");
         let arrival = self.0.millis(section, "arrival_ms");
         let idle = self.0.millis(section, "idle_ms");
-        Some(CallerLimits { body_bytes: body_bytes?, arrival: arrival?, idle: idle? })
+        Some(CallerLimits { max_body_bytes: body_bytes?, receive_timeout: arrival?, idle_timeout: idle? })
     }
 
     fn pool(&self, section: &Section) -> Option<(PoolName, PoolRule)> {
@@ -178,9 +178,9 @@
         let moves_prompts = self.flag(section, "moves_prompts");
         let warming_rate = self.0.optional(section, "warming_rate");
         let rule = PoolRule {
-            keeps_prompts: keeps_prompts?,
-            moves_prompts: moves_prompts?,
-            warming_rate,
+            caches_prompts: keeps_prompts?,
+            transfers_cached_prompts: moves_prompts?,
+            warmup_requests_per_second: warming_rate,
             ..PoolRule::default()
         };
         Some((name?, rule))
@@ -214,17 +214,17 @@
             path_prefix: path_prefix?,
             kind: kind?.0,
             timeout: timeout?,
-            target: target?,
+            target_latency: target?,
             target_gap,
             priority: priority?,
-            attempts: attempts?,
-            is_open: is_open?,
+            max_attempts: attempts?,
+            allow_anonymous: is_open?,
             regions: regions?,
             split: split?.0,
         })
     }
 
-    fn regions(&self, section: &Section) -> Option<Regions> {
+    fn regions(&self, section: &Section) -> Option<AllowedRegions> {
         self.0.value::<RegionList>(section, "regions").map(|list| list.0)
     }
 
--- a/crates/bendhinge_routes/src/customer.rs
+++ b/crates/bendhinge_routes/src/customer.rs
@@ -1,55 +1,55 @@
-//! Customers and their keys.
+//! Customers and their API keys.
 
 use std::sync::Arc;
 
 use bendhinge_ids::CustomerName;
 use rustc_hash::FxHashMap;
 
-use crate::Regions;
+use crate::AllowedRegions;
 
 /// A customer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Customer {
-    /// Its name.
+    /// Name of the customer.
     pub name: CustomerName,
-    /// Its rank, which goes before that of the route; 0 is the most urgent.
+    /// Priority of its requests, overriding that of the route; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Where its requests may run, beside what their routes allow.
-    pub regions: Regions,
+    /// Regions that may serve its requests, in addition to the restriction of the route.
+    pub regions: AllowedRegions,
 }
 
-/// Customers by key.
+/// Customers by API key.
 #[derive(Clone, Debug, Default)]
 pub struct CustomerTable {
     by_key: FxHashMap<Box<str>, Arc<Customer>>,
-    is_in_use: bool,
+    has_customers: bool,
 }
 
 impl CustomerTable {
-    /// A table of customers, each with its keys.
+    /// Creates a table from customers and their API keys.
     #[must_use]
     pub fn new(customers: impl IntoIterator<Item = (Customer, Vec<String>)>) -> Self {
         let mut by_key = FxHashMap::default();
-        let mut is_in_use = false;
+        let mut has_customers = false;
         for (customer, keys) in customers {
-            is_in_use = true;
+            has_customers = true;
             let customer = Arc::new(customer);
             for key in keys {
                 by_key.insert(key.into_boxed_str(), Arc::clone(&customer));
             }
         }
-        Self { by_key, is_in_use }
+        Self { by_key, has_customers }
     }
 
-    /// Whether requests need a key at all: so it is once there are customers, even without keys.
+    /// Returns whether requests must carry an API key: true if any customer is configured, even one without keys.
     #[must_use]
-    pub const fn is_in_use(&self) -> bool {
-        self.is_in_use
+    pub const fn requires_key(&self) -> bool {
+        self.has_customers
     }
 
-    /// The customer that holds `key`.
+    /// Returns the customer that owns the API key `key`.
     #[must_use]
-    pub fn holder(&self, key: &str) -> Option<&Arc<Customer>> {
+    pub fn find_by_key(&self, key: &str) -> Option<&Arc<Customer>> {
         self.by_key.get(key)
     }
 }
--- a/crates/bendhinge_routes/src/lib.rs
+++ b/crates/bendhinge_routes/src/lib.rs
@@ -1,11 +1,11 @@
-//! Serving rules: which pool a request goes to by its host and path, what may be done with it,
-//! and whose key it carries.
+//! Serving rules: which pool serves a request according to its host and path, how the request may be
+//! handled, and which customer its API key belongs to.
 //!
-//! * [`ServingRules`] is one whole version, never changed, only replaced.
+//! * [`ServingRules`] is one immutable version of the rules; updates replace it as a whole.
 //! * [`RouteTable`] finds the route of a request.
-//! * [`CustomerTable`] finds the customer that holds a key.
+//! * [`CustomerTable`] finds the customer that owns an API key.
 //!
-//! All of it is pure; a document in any form is read into these types by whoever knows the form.
+//! This crate does no I/O. Parsers of the individual document formats produce these types.
 
 mod customer;
 mod regions;
@@ -14,7 +14,7 @@
 mod table;
 
 pub use customer::{Customer, CustomerTable};
-pub use regions::Regions;
-pub use route::{Route, RouteKind, Split, SplitPart};
+pub use regions::AllowedRegions;
+pub use route::{Route, RouteKind, TrafficSplit, WeightedPool};
 pub use rules::{CallerLimits, PoolRule, ServingRules};
 pub use table::{RouteTable, host_without_port};
--- a/crates/bendhinge_routes/src/regions.rs
+++ b/crates/bendhinge_routes/src/regions.rs
@@ -1,21 +1,22 @@
-//! Regions that requests must not leave.
+//! Restriction of requests to regions.
 
 use bendhinge_ids::RegionName;
 
-/// The regions whose upstreams may run the requests of a route or a customer; none named is all.
+/// Regions whose upstreams may serve the requests of a route or a customer; an empty list allows every region.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Regions(Vec<RegionName>);
+pub struct AllowedRegions(Vec<RegionName>);
 
-impl Regions {
-    /// The regions that are named.
+impl AllowedRegions {
+    /// Allows only the regions in `names`, or every region if `names` is empty.
     #[must_use]
-    pub const fn new(named: Vec<RegionName>) -> Self {
-        Self(named)
+    pub const fn new(names: Vec<RegionName>) -> Self {
+        Self(names)
     }
 
-    /// Whether an upstream of `region` may run them. One whose region nobody knows may only where any may.
+    /// Returns whether an upstream in `region` may serve the requests. An upstream in an unknown region (`None`)
+    /// is allowed only if every region is.
     #[must_use]
-    pub fn allow(&self, region: Option<&RegionName>) -> bool {
+    pub fn allows(&self, region: Option<&RegionName>) -> bool {
         self.0.is_empty() || region.is_some_and(|region| self.0.contains(region))
     }
 }
--- a/crates/bendhinge_routes/src/route.rs
+++ b/crates/bendhinge_routes/src/route.rs
@@ -1,106 +1,107 @@
-//! One route: what its requests are and where they go.
+//! Routes: how matching requests are handled and which pools serve them.
 
 use std::time::Duration;
 
 use bendhinge_ids::PoolName;
 
-use crate::Regions;
+use crate::AllowedRegions;
 
-/// What may be done with a route's requests.
+/// Retry semantics and response type of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Running a request twice does no harm.
+    /// Requests are idempotent.
     Safe,
-    /// A request may run at most once.
+    /// Requests must be executed at most once.
     Unsafe,
-    /// The answer is a stream of events.
+    /// The response is an event stream.
     Stream {
-        /// Whether a stream that broke off may go on at another upstream.
+        /// Whether an interrupted stream may be resumed at another upstream.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request whose fate is not known may be sent to another upstream.
+    /// Returns whether a request with unknown outcome may be sent to another upstream.
     #[must_use]
-    pub const fn is_repeatable(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(self, Self::Safe | Self::Stream { resumable: true })
     }
 
-    /// Whether answers are streams of events.
+    /// Returns whether responses are event streams.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// One part of a route's traffic.
+/// A pool and its weight in a [`TrafficSplit`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct SplitPart {
-    /// The pool that gets it.
+pub struct WeightedPool {
+    /// Name of the pool.
     pub pool: PoolName,
-    /// Its weight among the parts; not negative.
+    /// Weight relative to the other pools of the split; not negative.
     pub weight: f64,
 }
 
-/// How a route's traffic is divided between pools.
+/// Weighted distribution of a route's traffic over pools.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Split(Vec<SplitPart>);
+pub struct TrafficSplit(Vec<WeightedPool>);
 
-impl Split {
-    /// All traffic to one pool.
+impl TrafficSplit {
+    /// Sends all traffic to one pool.
     #[must_use]
-    pub fn whole(pool: PoolName) -> Self {
-        Self(vec![SplitPart { pool, weight: 1.0 }])
+    pub fn single(pool: PoolName) -> Self {
+        Self(vec![WeightedPool { pool, weight: 1.0 }])
     }
 
-    /// Traffic divided by weight; parts without weight get none.
+    /// Splits traffic in proportion to the weights; pools with zero weight get no traffic.
     #[must_use]
-    pub fn new(parts: Vec<SplitPart>) -> Self {
-        Self(parts.into_iter().filter(|part| part.weight > 0.0).collect())
+    pub fn new(pools: Vec<WeightedPool>) -> Self {
+        Self(pools.into_iter().filter(|entry| entry.weight > 0.0).collect())
     }
 
-    /// The pool at `point`, from 0 up to but not including 1, of the weights laid end to end;
-    /// `None` if no part has weight.
+    /// Returns the pool for `fraction`, a number in `[0, 1)` that indexes into the cumulative weights.
+    ///
+    /// Returns `None` if no pool has a positive weight.
     #[must_use]
-    pub fn pool_at(&self, point: f64) -> Option<&PoolName> {
-        let total: f64 = self.0.iter().map(|part| part.weight).sum();
-        let mut left = point * total;
-        for part in &self.0 {
-            left -= part.weight;
-            if left < 0.0 {
-                return Some(&part.pool);
+    pub fn pool_at(&self, fraction: f64) -> Option<&PoolName> {
+        let total: f64 = self.0.iter().map(|entry| entry.weight).sum();
+        let mut remaining = fraction * total;
+        for entry in &self.0 {
+            remaining -= entry.weight;
+            if remaining < 0.0 {
+                return Some(&entry.pool);
             }
         }
-        self.0.last().map(|part| &part.pool)
+        self.0.last().map(|entry| &entry.pool)
     }
 }
 
 /// A route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name, for logs and counters.
+    /// Name used in logs and metrics.
     pub name: String,
-    /// The host that it answers to, in lower case and without port.
+    /// Host to match, in lower case and without port.
     pub host: String,
-    /// What paths begin with.
+    /// Path prefix to match.
     pub path_prefix: String,
-    /// What may be done with its requests.
+    /// Retry semantics and response type.
     pub kind: RouteKind,
-    /// The longest time for which a request is held.
+    /// Request timeout.
     pub timeout: Duration,
-    /// The time within which an answer is on time.
-    pub target: Duration,
-    /// The longest pause within a stream that is on time; `None` for other answers.
+    /// Latency up to which a response counts as in time.
+    pub target_latency: Duration,
+    /// Pause between events up to which a stream counts as in time; `None` for other responses.
     pub target_gap: Option<Duration>,
-    /// Its rank; 0 is the most urgent.
+    /// Request priority; 0 is the most urgent.
     pub priority: u8,
-    /// To how many upstreams one request may be sent, the first among them.
-    pub attempts: u32,
-    /// Whether requests without a key are served.
-    pub is_open: bool,
-    /// Where its requests may run.
-    pub regions: Regions,
-    /// Where its traffic goes.
-    pub split: Split,
+    /// Maximum number of upstreams that one request is sent to, including the first.
+    pub max_attempts: u32,
+    /// Whether requests without an API key are served.
+    pub allow_anonymous: bool,
+    /// Regions that may serve the requests.
+    pub regions: AllowedRegions,
+    /// Pools that serve the requests.
+    pub split: TrafficSplit,
 }
--- a/crates/bendhinge_routes/src/rules.rs
+++ b/crates/bendhinge_routes/src/rules.rs
@@ -1,4 +1,4 @@
-//! One whole version of the serving rules.
+//! Serving rules as one versioned value.
 
 use std::time::Duration;
 
@@ -7,51 +7,55 @@
 
 use crate::{CustomerTable, RouteTable};
 
-/// What is known of a pool beside its members.
+/// Settings of a pool that apply to each of its upstreams.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PoolRule {
-    /// Connections that one member takes from all callers together.
-    pub connections: Option<u32>,
-    /// Requests that one member works on at once, where it says so.
+    /// Maximum number of connections to one upstream from all callers together.
+    pub max_connections: Option<u32>,
+    /// Number of requests that one upstream processes concurrently, if known.
     pub slots: Option<u32>,
-    /// Whether members keep what they have read of prompts.
-    pub keeps_prompts: bool,
-    /// Whether one member can take what it keeps from another.
-    pub moves_prompts: bool,
-    /// Tokens that one member can keep.
-    pub kept_tokens: u64,
-    /// Requests a second that one member bears while it warms up, where there is such a limit.
-    pub warming_rate: Option<f32>,
+    /// Whether upstreams cache the prompts that they have processed.
+    pub caches_prompts: bool,
+    /// Whether an upstream can fetch cached prompts from another.
+    pub transfers_cached_prompts: bool,
+    /// Capacity of an upstream's prompt cache, in tokens.
+    pub prompt_cache_tokens: u64,
+    /// Maximum requests per second to an upstream that is warming up; `None` for no limit.
+    pub warmup_requests_per_second: Option<f32>,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on client requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// The largest request body, in bytes.
-    pub body_bytes: usize,
-    /// How long a request may take to arrive.
-    pub arrival: Duration,
-    /// How long a connection may stand idle.
-    pub idle: Duration,
+    /// Maximum size of a request body, in bytes.
+    pub max_body_bytes: usize,
+    /// Timeout for receiving a complete request.
+    pub receive_timeout: Duration,
+    /// Timeout for idle connections.
+    pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
-        Self { body_bytes: 4 << 20, arrival: Duration::from_secs(5), idle: Duration::from_secs(15) }
+        Self {
+            max_body_bytes: 4 << 20,
+            receive_timeout: Duration::from_secs(5),
+            idle_timeout: Duration::from_secs(15),
+        }
     }
 }
 
-/// One whole version.
+/// One version of the serving rules.
 #[derive(Clone, Debug, Default)]
 pub struct ServingRules {
-    /// Its number; a later version has a higher one.
+    /// Version number; newer versions have higher numbers.
     pub version: u64,
-    /// Where requests go.
+    /// Routes by host and path.
     pub routes: RouteTable,
-    /// What is known of the pools.
+    /// Settings of the pools.
     pub pools: FxHashMap<PoolName, PoolRule>,
-    /// Who may call.
+    /// Customers and their API keys.
     pub customers: CustomerTable,
-    /// What callers may send.
+    /// Limits on client requests and connections.
     pub limits: CallerLimits,
 }
--- a/crates/bendhinge_routes/src/table.rs
+++ b/crates/bendhinge_routes/src/table.rs
@@ -1,4 +1,4 @@
-//! Finding a request's route.
+//! Lookup of routes by host and path.
 
 use std::sync::Arc;
 
@@ -6,14 +6,14 @@
 
 use crate::Route;
 
-/// Routes by host, for each host with the longest prefix first.
+/// Routes by host, with the longest path prefix first.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     by_host: FxHashMap<String, Vec<Arc<Route>>>,
 }
 
 impl RouteTable {
-    /// A table of `routes`.
+    /// Creates a table of `routes`.
     #[must_use]
     pub fn new(routes: impl IntoIterator<Item = Route>) -> Self {
         let mut by_host: FxHashMap<String, Vec<Arc<Route>>> = FxHashMap::default();
@@ -26,8 +26,9 @@
         Self { by_host }
     }
 
-    /// The route of a request: of those of the host, the one with the longest prefix that
-    /// begins the path. `host` may carry a port and any case.
+    /// Finds the route of a request: the one with the longest path prefix among those of the host that match.
+    ///
+    /// `host` is matched case-insensitively and may include a port.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host_without_port(host);
@@ -38,20 +39,20 @@
         routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// How many routes there are.
+    /// Returns the number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_host.values().map(Vec::len).sum()
     }
 
-    /// Whether there is no route.
+    /// Returns whether there are no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_host.is_empty()
     }
 }
 
-/// The name part of a `Host` header.
+/// Strips the port from the value of a `Host` header.
 #[must_use]
 pub fn host_without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
--- a/crates/bendhinge_routes/tests/routes.rs
+++ b/crates/bendhinge_routes/tests/routes.rs
@@ -1,10 +1,11 @@
-//! Finding routes, dividing traffic, and holders of keys.
+//! Tests of route lookup, traffic splits, API keys and region restrictions.
 
 use std::time::Duration;
 
 use bendhinge_ids::PoolName;
 use bendhinge_routes::{
-    Customer, CustomerTable, Regions, Route, RouteKind, RouteTable, Split, SplitPart, host_without_port,
+    AllowedRegions, Customer, CustomerTable, Route, RouteKind, RouteTable, TrafficSplit, WeightedPool,
+    host_without_port,
 };
 
 fn pool(name: &str) -> PoolName {
@@ -18,22 +19,22 @@
         path_prefix: path_prefix.to_owned(),
         kind: RouteKind::Safe,
         timeout: Duration::from_secs(2),
-        target: Duration::from_millis(300),
+        target_latency: Duration::from_millis(300),
         target_gap: None,
         priority: 1,
-        attempts: 2,
-        is_open: false,
-        regions: Regions::default(),
-        split: Split::whole(pool("pool")),
+        max_attempts: 2,
+        allow_anonymous: false,
+        regions: AllowedRegions::default(),
+        split: TrafficSplit::single(pool("pool")),
     }
 }
 
-fn found(table: &RouteTable, host: &str, path: &str) -> Option<String> {
+fn find_name(table: &RouteTable, host: &str, path: &str) -> Option<String> {
     table.find(host, path).map(|route| route.name.clone())
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_matching_prefix_of_the_host_wins() {
     let table = RouteTable::new([
         route("all", "a.example", "/"),
         route("short", "a.example", "/chat/"),
@@ -51,57 +52,61 @@
         ("", "/chat/", None),
     ];
     for (host, path, expected) in cases {
-        assert_eq!(found(&table, host, path).as_deref(), expected, "{host} {path}");
+        assert_eq!(find_name(&table, host, path).as_deref(), expected, "{host} {path}");
     }
 }
 
 #[test]
-fn a_port_is_no_part_of_the_host() {
+fn port_is_stripped_from_host() {
     for (host, name) in [("a:80", "a"), ("a", "a"), ("a:", "a"), ("a:b", "a:b")] {
         assert_eq!(host_without_port(host), name);
     }
 }
 
 #[test]
-fn traffic_is_divided_by_weight() {
-    let parts = [("old", 3.0), ("none", 0.0), ("new", 1.0)];
-    let parts = parts.map(|(name, weight)| SplitPart { pool: pool(name), weight });
-    let split = Split::new(parts.to_vec());
-    let points = 0..1_000;
-    let to_new = points.filter(|point| split.pool_at(f64::from(*point) / 1_000.0) == Some(&pool("new")));
+fn traffic_is_split_by_weight() {
+    let pools = [("old", 3.0), ("none", 0.0), ("new", 1.0)];
+    let pools = pools.map(|(name, weight)| WeightedPool { pool: pool(name), weight });
+    let split = TrafficSplit::new(pools.to_vec());
+    let steps = 0..1_000;
+    let to_new = steps.filter(|step| split.pool_at(f64::from(*step) / 1_000.0) == Some(&pool("new")));
     assert_eq!(to_new.count(), 250);
     assert_eq!(split.pool_at(0.999_999_999), Some(&pool("new")));
-    assert_eq!(Split::new(Vec::new()).pool_at(0.5), None);
+    assert_eq!(TrafficSplit::new(Vec::new()).pool_at(0.5), None);
 }
 
 #[test]
-fn every_key_of_a_customer_finds_it_and_no_other_does() {
-    let customer =
-        |name: &str| Customer { name: name.parse().unwrap(), priority: None, regions: Regions::default() };
+fn each_key_finds_only_its_customer() {
+    let customer = |name: &str| Customer {
+        name: name.parse().unwrap(),
+        priority: None,
+        regions: AllowedRegions::default(),
+    };
     let table = CustomerTable::new([
         (customer("one"), vec!["k1".to_owned(), "k2".to_owned()]),
         (customer("two"), vec!["k3".to_owned()]),
     ]);
-    let holder = |key: &str| table.holder(key).map(|customer| customer.name.to_string());
-    assert_eq!(holder("k2").as_deref(), Some("one"));
-    assert_eq!(holder("k3").as_deref(), Some("two"));
-    assert_eq!(holder("k4"), None);
-    assert_eq!(holder(""), None);
+    let owner = |key: &str| table.find_by_key(key).map(|customer| customer.name.to_string());
+    assert_eq!(owner("k2").as_deref(), Some("one"));
+    assert_eq!(owner("k3").as_deref(), Some("two"));
+    assert_eq!(owner("k4"), None);
+    assert_eq!(owner(""), None);
 }
 
 #[test]
-fn a_customer_without_keys_still_closes_routes() {
-    let customer = Customer { name: "one".parse().unwrap(), priority: None, regions: Regions::default() };
-    assert!(CustomerTable::new([(customer, Vec::new())]).is_in_use());
-    assert!(!CustomerTable::default().is_in_use());
+fn customer_without_keys_still_requires_key() {
+    let customer =
+        Customer { name: "one".parse().unwrap(), priority: None, regions: AllowedRegions::default() };
+    assert!(CustomerTable::new([(customer, Vec::new())]).requires_key());
+    assert!(!CustomerTable::default().requires_key());
 }
 
 #[test]
-fn regions_that_are_named_allow_only_upstreams_that_are_known_to_be_there() {
+fn region_list_allows_only_upstreams_in_listed_regions() {
     let (north, south) = ("north".parse().unwrap(), "south".parse().unwrap());
-    let home = Regions::new(vec![north]);
-    assert!(home.allow(Some(&"north".parse().unwrap())));
-    assert!(!home.allow(Some(&south)));
-    assert!(!home.allow(None));
-    assert!(Regions::default().allow(Some(&south)) && Regions::default().allow(None));
+    let allowed = AllowedRegions::new(vec![north]);
+    assert!(allowed.allows(Some(&"north".parse().unwrap())));
+    assert!(!allowed.allows(Some(&south)));
+    assert!(!allowed.allows(None));
+    assert!(AllowedRegions::default().allows(Some(&south)) && AllowedRegions::default().allows(None));
 }
