--- a/crates/bendhinge_admission/src/retry_share.rs
+++ b/crates/bendhinge_admission/src/retry_share.rs
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use bendhinge_ids::{Instant, share_of};
+use bendhinge_ids::{Instant, hash_to_fraction};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// What a whole fleet may send again for one pool: `ratio` of the requests and `slack` besides,
@@ -69,7 +69,7 @@
     fn draw(self, now: Instant) -> f64 {
         let period = u64::try_from(self.period.as_micros()).unwrap_or(u64::MAX).max(1);
         let number = (now.0 + self.seed % period) / period;
-        share_of(xxh3_64_with_seed(&number.to_le_bytes(), self.seed))
+        hash_to_fraction(xxh3_64_with_seed(&number.to_le_bytes(), self.seed))
     }
 }
 
--- a/crates/bendhinge_gateway/src/intake/mod.rs
+++ b/crates/bendhinge_gateway/src/intake/mod.rs
@@ -7,7 +7,7 @@
 
 use bendhinge_codes::ResultCode;
 use bendhinge_http::{Body, ReadBodyError, full_body, read_body};
-use bendhinge_ids::{Instant, PoolName, RequestDigest, share_of};
+use bendhinge_ids::{Instant, PoolName, RequestDigest, hash_to_fraction};
 use bendhinge_routes::{CallerLimits, Customer, Route};
 use bytes::Bytes;
 use futures_lite::FutureExt;
@@ -190,7 +190,7 @@
 /// A point from 0 up to 1 for dividing traffic: the same wherever the same request comes.
 fn split_point(call: &CallFields) -> f64 {
     match &call.id {
-        Some(id) => share_of(xxh3_64(id.as_bytes())),
+        Some(id) => hash_to_fraction(xxh3_64(id.as_bytes())),
         None => rand::rng().random(),
     }
 }
--- a/crates/bendhinge_ids/src/chat.rs
+++ b/crates/bendhinge_ids/src/chat.rs
@@ -1,28 +1,28 @@
-//! Keys that stay the same over the turns of a chat and the attempts of a request.
+//! Identifiers of chats and requests.
 
 use std::fmt;
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// What all turns of one chat have in common, hashed; decides where its turns go.
+/// Hash that is the same for all turns of a chat; determines their placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ChatKey(pub u64);
 
 impl ChatKey {
-    /// The key of a chat that its caller names, apart from the same name of other customers.
+    /// Hashes a chat name chosen by the caller. Equal names of different customers give different keys.
     #[must_use]
     pub fn of(customer: &str, chat: &[u8]) -> Self {
         Self(xxh3_64_with_seed(chat, xxh3_64(customer.as_bytes())))
     }
 
-    /// This key's score for a member of a set: the base of every rendezvous hash here.
+    /// Returns the rendezvous hashing score of this key for `member`.
     #[must_use]
     pub fn score(self, member: &str) -> u64 {
         xxh3_64_with_seed(member.as_bytes(), self.0)
     }
 }
 
-/// The number by which one request is followed through routers, attempts and upstreams.
+/// Identifier that a request keeps across routers, attempts and upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
--- a/crates/bendhinge_ids/src/lib.rs
+++ b/crates/bendhinge_ids/src/lib.rs
@@ -1,4 +1,4 @@
-//! Names, keys, numbers and instants that several duties share, each a type of its own.
+//! Newtypes for names, identifiers, hashes and timestamps that are shared between crates.
 
 mod chat;
 mod name;
@@ -12,6 +12,6 @@
 };
 pub use number::{
     ConfigRevision, Digest, DigestError, EventSequence, Incarnation, PermitId, RequestDigest, RequestHint,
-    RouterLife, share_of,
+    RouterIncarnation, hash_to_fraction,
 };
 pub use time::Instant;
--- a/crates/bendhinge_ids/src/name.rs
+++ b/crates/bendhinge_ids/src/name.rs
@@ -1,5 +1,5 @@
-//! Names that operators choose. All have one form, so that they can stand in paths, headers,
-//! section titles and metric labels as they are.
+//! Types for names chosen by operators. All share one syntax that is valid without escaping in paths, headers,
+//! section titles and metric labels.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,21 +8,25 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The longest name, in bytes.
-const NAME_MAX_BYTES: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
-/// Why a text is not a name.
+/// Error for a string that is not a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{0}' is not a name: use 1 to 64 of a-z, A-Z, 0-9, '.', '_' and '-'")]
 pub struct NameError(pub String);
 
-fn check(text: &str) -> Result<Arc<str>, NameError> {
-    let fits = !text.is_empty() && text.len() <= NAME_MAX_BYTES;
-    let plain = text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"._-".contains(&byte));
-    if fits && plain { Ok(Arc::from(text)) } else { Err(NameError(text.to_owned())) }
+fn parse_name(text: &str) -> Result<Arc<str>, NameError> {
+    let has_valid_length = !text.is_empty() && text.len() <= MAX_NAME_BYTES;
+    let has_valid_characters =
+        text.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"._-".contains(&byte));
+    if has_valid_length && has_valid_characters {
+        Ok(Arc::from(text))
+    } else {
+        Err(NameError(text.to_owned()))
+    }
 }
 
-macro_rules! names {
+macro_rules! name_types {
     ($($(#[$doc:meta])* $name:ident;)+) => {$(
         $(#[$doc])*
         #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -30,7 +34,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -41,7 +45,7 @@
             type Err = NameError;
 
             fn from_str(text: &str) -> Result<Self, NameError> {
-                check(text).map(Self)
+                parse_name(text).map(Self)
             }
         }
 
@@ -49,7 +53,7 @@
             type Error = NameError;
 
             fn try_from(text: String) -> Result<Self, NameError> {
-                check(&text).map(Self)
+                parse_name(&text).map(Self)
             }
         }
 
@@ -67,31 +71,31 @@
     )+};
 }
 
-names! {
-    /// A box that runs one router.
+name_types! {
+    /// Name of a box, which runs one router.
     BoxName;
-    /// A data centre: the unit in which operators drain.
+    /// Name of a data centre, the unit that operators drain.
     DataCentreName;
-    /// A region: data centres near each other.
+    /// Name of a region, a group of nearby data centres.
     RegionName;
-    /// A customer: whoever holds a bearer key.
+    /// Name of a customer, who authenticates with a bearer key.
     CustomerName;
-    /// An upstream: one model engine's runner or one instance of a plain service.
+    /// Name of an upstream: a model engine's runner or an instance of a plain service.
     UpstreamName;
-    /// A pool of upstreams that can stand in for one another.
+    /// Name of a pool of interchangeable upstreams.
     PoolName;
-    /// A priority class.
+    /// Name of a priority class.
     ClassName;
-    /// A model as callers name it.
+    /// Name of a model, as used by callers.
     ModelName;
 }
 
-/// A name's hash, which is shorter to send than the name.
+/// Hash of a name; a compact substitute for the name in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NameHash(pub u64);
 
 impl NameHash {
-    /// The hash of `name`.
+    /// Hashes `name`.
     #[must_use]
     pub fn of(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()))
--- a/crates/bendhinge_ids/src/number.rs
+++ b/crates/bendhinge_ids/src/number.rs
@@ -1,4 +1,4 @@
-//! Numbers with one meaning each.
+//! Newtypes for revisions, incarnations, sequence numbers and digests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,18 +8,18 @@
 
 use crate::BoxName;
 
-/// A hash as a number from 0 up to 1.
+/// Maps a hash uniformly to `[0, 1)`.
 #[must_use]
-pub const fn share_of(hash: u64) -> f64 {
+pub const fn hash_to_fraction(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// The revision of a confirmed configuration; only ever grows.
+/// Revision of a confirmed configuration; increases monotonically.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ConfigRevision(pub u64);
 
 impl ConfigRevision {
-    /// The revision that a plan made from this one will have.
+    /// Returns the revision that a plan based on this one will have.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
@@ -32,32 +32,32 @@
     }
 }
 
-/// One life of a process, from its start to its end: milliseconds since 1970 at its start.
+/// Identifies one run of a process by its start time, in milliseconds since the Unix epoch.
 ///
-/// A later life of the same box has a higher number unless the box's clock was set back, in
-/// which case its peers keep ignoring it until the clock has caught up.
+/// A restarted process has a higher incarnation unless the clock of its box was set back. In that case its peers
+/// ignore it until the clock has caught up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// One life of one box's router.
+/// One run of the router on a box.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct RouterLife {
-    /// The box.
+pub struct RouterIncarnation {
+    /// Name of the box.
     pub name: BoxName,
-    /// Which life.
+    /// Incarnation of the router process.
     pub incarnation: Incarnation,
 }
 
-/// The number of an event in the record of one life of a process; 0 stands for none.
+/// Sequence number of an event within the log of one process incarnation; 0 means no event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EventSequence(pub u64);
 
-/// A permit's number, unique within the life of the router that counted it.
+/// Identifier of a permit, unique within the incarnation of the router that granted it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PermitId(pub u64);
 
-/// What tells a request that comes again from all others, under a key of the fleet: whose it is, where it goes
-/// and what it says, none of which can be read from it. Its upper half is a [`RequestHint`].
+/// Digest, keyed with a secret of the fleet, that identifies repetitions of a request. It covers the customer, the
+/// target and the body, and reveals none of them. Its upper half is a [`RequestHint`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestDigest(pub u128);
 
@@ -69,29 +69,29 @@
     }
 }
 
-/// What tells a request from nearly all others, without a look at its body.
+/// Keyed 64-bit hash of a request that is cheap to compute because it does not cover the contents of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestHint(pub u64);
 
 impl RequestDigest {
-    const HALF: u32 = 64;
+    const HALF_BITS: u32 = 64;
 
-    /// The digest with these halves.
+    /// Combines the upper and the lower half.
     #[must_use]
-    pub fn new(hint: RequestHint, rest: u64) -> Self {
-        Self(u128::from(hint.0) << Self::HALF | u128::from(rest))
+    pub fn new(hint: RequestHint, lower_half: u64) -> Self {
+        Self(u128::from(hint.0) << Self::HALF_BITS | u128::from(lower_half))
     }
 
-    /// Its upper half.
+    /// Returns the upper half.
     #[must_use]
     pub const fn hint(self) -> RequestHint {
-        RequestHint((self.0 >> Self::HALF) as u64)
+        RequestHint((self.0 >> Self::HALF_BITS) as u64)
     }
 
-    /// Its lower half.
+    /// Returns the lower half.
     #[must_use]
-    #[expect(clippy::cast_possible_truncation, reason = "a half is cut out")]
-    pub const fn rest(self) -> u64 {
+    #[expect(clippy::cast_possible_truncation, reason = "keeps the lower half only")]
+    pub const fn lower_half(self) -> u64 {
         self.0 as u64
     }
 }
@@ -102,19 +102,19 @@
     }
 }
 
-/// The first 16 bytes of a document's SHA-256.
+/// First 16 bytes of the SHA-256 hash of a document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Digest(pub [u8; 16]);
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Computes the digest of `bytes`.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
-        let full = sha2::Sha256::digest(bytes);
-        let mut short = [0; 16];
-        short.copy_from_slice(&full[..16]);
-        Self(short)
+        let hash = sha2::Sha256::digest(bytes);
+        let mut truncated = [0; 16];
+        truncated.copy_from_slice(&hash[..16]);
+        Self(truncated)
     }
 }
 
@@ -124,7 +124,7 @@
     }
 }
 
-/// Why a text is not a digest.
+/// Error for a string that is not a valid digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a digest is 32 hexadecimal digits")]
 pub struct DigestError;
--- a/crates/bendhinge_lab/src/bench/decision.rs
+++ b/crates/bendhinge_lab/src/bench/decision.rs
@@ -9,7 +9,7 @@
 };
 use bendhinge_configuration::{SealKey, canonical_document};
 use bendhinge_delivery::{IdentityKey, RequestIdentity};
-use bendhinge_ids::{ChatKey, Incarnation, Instant, NameHash, PoolName, RouterLife};
+use bendhinge_ids::{ChatKey, Incarnation, Instant, NameHash, PoolName, RouterIncarnation};
 use bendhinge_placement::{
     LedgerLimits, LoadBound, LoadView, PermitLedger, PermitRequest, Ranked, Ranking, Step, ViewKey, Walk,
     WalkPool,
@@ -84,7 +84,8 @@
     }
     let limits = LedgerLimits { lease: Duration::from_secs(10), displaced_chats: 1_000 };
     let mut ledger = PermitLedger::new(limits);
-    let holder = RouterLife { name: "box-1".parse().expect("a valid name"), incarnation: Incarnation(1) };
+    let holder =
+        RouterIncarnation { name: "box-1".parse().expect("a valid name"), incarnation: Incarnation(1) };
     let began = Clock::now();
     for round in 0..ROUNDS {
         let now = Instant::from_millis(10_000 + u64::from(round));
--- a/crates/bendhinge_lab/src/bench/policy.rs
+++ b/crates/bendhinge_lab/src/bench/policy.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bendhinge_ids::{
-    BoxName, ChatKey, Incarnation, Instant, NameHash, PermitId, PoolName, RouterLife, UpstreamName,
+    BoxName, ChatKey, Incarnation, Instant, NameHash, PermitId, PoolName, RouterIncarnation, UpstreamName,
 };
 use bendhinge_placement::{
     Answer, AskBudget, Denied, LedgerLimits, LoadBound, LoadReport, LoadView, PermitLedger, PermitRequest,
@@ -133,7 +133,7 @@
 
 /// One of the routers, as the router's own policy has it.
 struct RouterState {
-    life: RouterLife,
+    life: RouterIncarnation,
     view: LoadView,
     asks: AskBudget,
     ledger: PermitLedger,
@@ -168,7 +168,7 @@
             names.iter().position(|name| Some(name) == owner).expect("there are routers")
         };
         let router = |name: &BoxName| RouterState {
-            life: RouterLife { name: name.clone(), incarnation: Incarnation(1) },
+            life: RouterIncarnation { name: name.clone(), incarnation: Incarnation(1) },
             view: LoadView::default(),
             asks: AskBudget::default(),
             ledger: PermitLedger::new(limits),
--- a/crates/bendhinge_peer/src/fleet/suspicion.rs
+++ b/crates/bendhinge_peer/src/fleet/suspicion.rs
@@ -86,7 +86,7 @@
 
 pub(super) fn write_suspicion(mut to: suspicion::Builder<'_>, suspicion: &ObservedSuspicion) {
     to.set_request_high(suspicion.request.hint().0);
-    to.set_request_low(suspicion.request.rest());
+    to.set_request_low(suspicion.request.lower_half());
     to.set_answered(suspicion.answered.is_some());
     to.set_answered_age_millis(millis(suspicion.answered.unwrap_or_default()));
     let crashes = to.reborrow().init_crashes(count(suspicion.crashes.len()));
--- a/crates/bendhinge_placement/src/ledger.rs
+++ b/crates/bendhinge_placement/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use bendhinge_ids::{ChatKey, Instant, PermitId, RouterLife, UpstreamName};
+use bendhinge_ids::{ChatKey, Instant, PermitId, RouterIncarnation, UpstreamName};
 
 use rustc_hash::FxHashMap;
 
@@ -33,7 +33,7 @@
     /// The upstream.
     pub upstream: UpstreamName,
     /// The router that asks.
-    pub holder: RouterLife,
+    pub holder: RouterIncarnation,
     /// The chat, if the upstream is its first by ranking: a chat that was displaced from there
     /// is then told where it went.
     pub first_choice_of: Option<ChatKey>,
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 struct Outstanding {
     upstream: UpstreamName,
-    holder: RouterLife,
+    holder: RouterIncarnation,
 }
 
 /// How long changes of a count are kept, to be compared with lagging reports.
@@ -113,7 +113,7 @@
     limits: LedgerLimits,
     counts: FxHashMap<UpstreamName, Count>,
     outstanding: FxHashMap<PermitId, Outstanding>,
-    heard: FxHashMap<RouterLife, Instant>,
+    heard: FxHashMap<RouterIncarnation, Instant>,
     displaced: DisplacedChats,
     next_permit: u64,
 }
@@ -161,7 +161,7 @@
         Ok(self.grant(&request.upstream, &request.holder, now))
     }
 
-    fn grant(&mut self, upstream: &UpstreamName, holder: &RouterLife, now: Instant) -> Granted {
+    fn grant(&mut self, upstream: &UpstreamName, holder: &RouterIncarnation, now: Instant) -> Granted {
         let permit = PermitId(self.next_permit);
         self.next_permit += 1;
         let count = self.counts.entry(upstream.clone()).or_default();
@@ -198,21 +198,21 @@
     }
 
     /// Notes a sign of life that a router gave at `then`, which renews all its permits.
-    pub fn renew(&mut self, holder: &RouterLife, then: Instant) {
+    pub fn renew(&mut self, holder: &RouterIncarnation, then: Instant) {
         if let Some(heard) = self.heard.get_mut(holder) {
             *heard = then.max(*heard);
         }
     }
 
     /// The lives of routers that hold or held permits.
-    pub fn holders(&self) -> impl Iterator<Item = &RouterLife> {
+    pub fn holders(&self) -> impl Iterator<Item = &RouterIncarnation> {
         self.heard.keys()
     }
 
     /// Ends the permits of routers that were not heard of for a lease, and gives their number.
     pub fn expire(&mut self, now: Instant) -> usize {
         let lease = self.limits.lease;
-        let lapsed: Vec<RouterLife> = self
+        let lapsed: Vec<RouterIncarnation> = self
             .heard
             .iter()
             .filter(|(_, heard)| now.since(**heard) > lease)
@@ -222,7 +222,7 @@
     }
 
     /// Ends all permits of a router that has stopped, and gives their number.
-    pub fn drop_holder(&mut self, holder: &RouterLife, now: Instant) -> usize {
+    pub fn drop_holder(&mut self, holder: &RouterIncarnation, now: Instant) -> usize {
         self.heard.remove(holder);
         let permits: Vec<PermitId> = self
             .outstanding
