--- a/crates/bendhinge_admission/src/demand.rs
+++ b/crates/bendhinge_admission/src/demand.rs
@@ -1,66 +1,69 @@
-//! How many requests a second come.
+//! Estimation of request rates.
 
 use std::time::Duration;
 
 use bendhinge_ids::Instant;
 
-/// A rate that fades: what happened counts for so long, the less the longer ago it was.
+/// Event rate with exponential decay: older events count less.
 #[derive(Clone, Copy, Debug)]
-pub struct Rate {
-    over: Duration,
+pub struct DecayingRate {
+    time_constant: Duration,
     per_second: f32,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
-impl Rate {
-    /// Nothing yet, to be counted over a time.
+impl DecayingRate {
+    /// Creates a rate of zero that decays with `time_constant`.
     #[must_use]
-    pub const fn over(over: Duration) -> Self {
-        Self { over, per_second: 0.0, at: None }
+    pub const fn new(time_constant: Duration) -> Self {
+        Self { time_constant, per_second: 0.0, updated_at: None }
     }
 
-    /// Notes one.
-    pub fn note(&mut self, now: Instant) {
-        self.per_second = self.per_second(now) + 1.0 / self.over.as_secs_f32();
-        self.at = Some(now);
+    /// Records one event.
+    pub fn record(&mut self, now: Instant) {
+        self.per_second = self.per_second(now) + 1.0 / self.time_constant.as_secs_f32();
+        self.updated_at = Some(now);
     }
 
-    /// How many a second.
+    /// Returns the rate in events per second.
     #[must_use]
     pub fn per_second(&self, now: Instant) -> f32 {
-        let faded = self.at.map_or(0.0, |at| now.since(at).as_secs_f32() / self.over.as_secs_f32());
-        self.per_second * (-faded).exp()
+        let decay_exponent =
+            self.updated_at.map_or(0.0, |at| now.since(at).as_secs_f32() / self.time_constant.as_secs_f32());
+        self.per_second * (-decay_exponent).exp()
     }
 }
 
-/// The demand for a pool at one router: the larger of its rates over a short and a long time, since who
-/// divides by it sends too much where it is taken for too little.
+/// Demand for a pool at one router.
+///
+/// This is the larger of a short-term and a long-term request rate. Callers divide a permitted rate by the demand, so
+/// an underestimate would make them send too many requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand {
-    short: Rate,
-    long: Rate,
+    short_term: DecayingRate,
+    long_term: DecayingRate,
 }
 
 impl Default for Demand {
     fn default() -> Self {
-        /// Long enough to see a rate of one request in some seconds.
-        const LONG: Duration = Duration::from_secs(8);
-        /// Short enough to see a burst within a second of its start.
-        const SHORT: Duration = Duration::from_secs(1);
-        Self { short: Rate::over(SHORT), long: Rate::over(LONG) }
+        /// Long enough to register one request every few seconds.
+        const LONG_TERM: Duration = Duration::from_secs(8);
+        /// Short enough to register a burst within a second.
+        const SHORT_TERM: Duration = Duration::from_secs(1);
+        Self { short_term: DecayingRate::new(SHORT_TERM), long_term: DecayingRate::new(LONG_TERM) }
     }
 }
 
 impl Demand {
-    /// Notes a request.
-    pub fn note(&mut self, now: Instant) {
-        self.short.note(now);
-        self.long.note(now);
+    /// Records a request.
+    pub fn record(&mut self, now: Instant) {
+        self.short_term.record(now);
+        self.long_term.record(now);
     }
 
-    /// Requests a second.
+    /// Returns the demand in requests per second.
     #[must_use]
     pub fn per_second(&self, now: Instant) -> f32 {
-        self.short.per_second(now).max(self.long.per_second(now))
+        self.short_term.per_second(now).max(self.long_term.per_second(now))
     }
 }
--- a/crates/bendhinge_admission/src/lib.rs
+++ b/crates/bendhinge_admission/src/lib.rs
@@ -1,29 +1,30 @@
-//! What is let in and what is refused: pure functions over explicit state and an explicit clock.
+//! Admission control: decides which requests are admitted. All functions are pure; state and time are passed in
+//! explicitly.
 //!
-//! Shares and limits hold for the whole fleet while each router sees a part of the traffic.
-//! Routers tell each other what they have in progress and what they refused; in each round a
-//! router takes of what is still free the part that its share of the demand gives it.
+//! Shares and limits apply to the whole fleet, although each router sees only part of the traffic. Routers exchange
+//! the numbers of requests that they have in progress and have refused. In each round, every router claims a part of
+//! the free capacity in proportion to its part of the demand.
 //!
-//! A pool of plain upstreams that says nothing of its load is let by [`Pacer`] what it turns out to take.
-//! `docs/design/ADMISSION.md` says what was weighed.
+//! For pools of plain upstreams that do not report their load, [`Pacer`] adapts the admitted rate to the responses.
+//! `docs/design/ADMISSION.md` describes the alternatives that were considered.
 
+mod allocation;
 mod budget;
+mod controller;
 mod demand;
-mod division;
-mod gate;
+mod fair_share;
 mod pacing;
 mod retry_after;
-mod retry_share;
+mod router_retry_budget;
 mod rules;
 mod usage;
-mod water;
 
 pub use budget::RetryBudget;
-pub use demand::{Demand, Rate};
-pub use gate::{Admission, Ask, Refusal, RefusalReason};
-pub use pacing::{Asker, Paced, Pacer};
+pub use controller::{AdmissionController, AdmissionRequest, Refusal, RefusalReason};
+pub use demand::{DecayingRate, Demand};
+pub use fair_share::{WeightedDemand, max_min_fair_shares};
+pub use pacing::{Pacer, PacingDecision, Requester};
 pub use retry_after::retry_after;
-pub use retry_share::{FleetRetryBudget, RetryShare};
-pub use rules::{ClassIndex, ClassRule, CustomerIndex, CustomerRule, PoolIndex, PoolRule, Rules};
+pub use router_retry_budget::{FleetRetryBudget, RouterRetryBudget};
+pub use rules::{AdmissionRules, ClassIndex, ClassRule, CustomerIndex, CustomerRule, PoolIndex, PoolRule};
 pub use usage::{FleetUsage, PoolUsage, Usage};
-pub use water::{Want, fill};
--- a/crates/bendhinge_admission/src/pacing.rs
+++ b/crates/bendhinge_admission/src/pacing.rs
@@ -1,216 +1,219 @@
-//! Letting in no more than a pool takes, where its upstreams turn requests away.
+//! Adaptive rate limiting for pools of plain upstreams, which reject requests when full and do not report their load.
 //!
-//! The pattern it answers: a pool of a few plain upstreams, each with a handful of places and a short queue, before a
-//! fleet of many routers, when one customer sends twenty times its usual or a part of the pool is lost. The
-//! upstreams say nothing of their load, and a request is over before any news of it could be told. Unpaced, all
-//! queues stand full: who gets in waits for most of its time, whoever does not is thrown from one full
-//! upstream to the next, and the customer that sends most gets most.
+//! Without a limit, a burst from one customer or the loss of an upstream fills all queues: admitted requests spend
+//! most of their time waiting, rejected ones are retried at other full upstreams, and the customer that sends most
+//! gets most of the capacity.
 //!
-//! Each router paces itself by what it sees: an answer in time lets the pace rise, one that is turned away or late
-//! lets it fall. Nobody waits here. What the pace leaves goes to the more urgent first, and among equals no
-//! customer has more than a fair part while others want theirs; the rest is refused at once. As long as nobody is
-//! turned away there is no pace, and nobody is refused.
-//!
-//! Before three upstreams of six places, with 78 routers and 1,000 requests a second for 8 s in place of 200, 392 are
-//! answered in time a second in place of 216, and of the requests of those who send no more than usual 0.77
-//! in place of 0.21 (`measure pacing`). A router that counted for the pool would give 462 and 1.0, for two messages
-//! a request in the second in which there is the least time for them.
+//! Each router therefore adapts a rate limit to what it observes: a response in time increases it, a rejected or late
+//! request decreases it. Requests are never queued here. Capacity goes to the most urgent priority first and is
+//! divided fairly among customers of equal priority; other requests are refused at once. There is no limit until
+//! upstreams reject requests.
 
 use std::time::Duration;
 
 use bendhinge_ids::{Instant, NameHash};
 use rustc_hash::FxHashMap;
 
-use crate::{Rate, Want, fill};
-
-/// Within this time refusals of several upstreams say that the pool is full, and not one of them odd.
-const FULL_WITHIN: Duration = Duration::from_secs(1);
-/// Upstreams that must have turned a request away, if there are as many.
-const WITNESSES: usize = 2;
-/// The part of a route's target after which an answer counts as late: what is left of it is for the caller's way.
-const LATE: f64 = 0.85;
-/// What one answer in time adds to the pace, in requests a second. At a router that sends eight a second one
-/// answer in four is late then when the pace stands still. With 0.25 the pool is used less, and of the usual
-/// customers' requests 0.72 are answered in time and not 0.77; with 0.6 the queues are longer, 0.74.
-const RISE: f64 = 0.4;
-/// What is left of the pace after it fell.
-const CUT: f64 = 0.85;
-/// The pace falls once in this time at most: what is under way says the same several times.
-const CUT_EVERY: Duration = Duration::from_millis(200);
-/// The least pace, in requests a second: a router that sends nothing learns nothing.
-const LEAST: f64 = 0.5;
-/// The time for which the pace may be saved up.
-const SAVED: Duration = Duration::from_millis(250);
-/// Over what time demands are counted: a customer that sends one request in ten seconds is not taken for one
-/// that sends one a second.
-const DEMAND_OVER: Duration = Duration::from_secs(3);
-/// So long after the last answer that was late or turned away a pace that leaves nothing out is given up.
-const CALM: Duration = Duration::from_secs(2);
-/// The least time after which a refused caller should come back: before that it finds the same burst.
-const BACK_AFTER: Duration = Duration::from_millis(300);
-/// The longest: a burst may be over.
-const BACK_AT_LAST: Duration = Duration::from_secs(3);
-
-/// Whose request it is.
+use crate::{DecayingRate, WeightedDemand, max_min_fair_shares};
+
+/// Window within which several upstreams must reject requests for the pool to count as full.
+const REJECTION_WINDOW: Duration = Duration::from_secs(1);
+/// Number of upstreams that must reject requests for the pool to count as full, if it has as many.
+const MIN_REJECTING_UPSTREAMS: usize = 2;
+/// Fraction of the target latency after which a response counts as late. The remainder is for the way to the caller.
+const LATE_FRACTION: f64 = 0.85;
+/// Increase of the rate limit for each response in time, in requests per second.
+const INCREASE_PER_RESPONSE: f64 = 0.4;
+/// Factor by which the rate limit is decreased.
+const DECREASE_FACTOR: f64 = 0.85;
+/// Minimum interval between decreases, since requests in flight all report the same overload.
+const DECREASE_INTERVAL: Duration = Duration::from_millis(200);
+/// Lower bound of the rate limit. A router that sends no requests would not notice when the pool recovers.
+const MIN_REQUESTS_PER_SECOND: f64 = 0.5;
+/// Time for which unused tokens accumulate.
+const BURST_DURATION: Duration = Duration::from_millis(250);
+/// Time constant of the demand of each requester. Long enough that one request every ten seconds is not mistaken for
+/// one per second.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(3);
+/// Time without rejected or late requests after which a rate limit above the demand is removed.
+const RECOVERY_DURATION: Duration = Duration::from_secs(2);
+/// Minimum delay before a refused caller should retry. An earlier retry would meet the same burst.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Maximum delay before a refused caller should retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
+
+/// Priority and customer of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Asker {
-    /// Its rank; 0 is the most urgent.
+pub struct Requester {
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Its customer.
+    /// Hash of the customer's name.
     pub customer: NameHash,
 }
 
-/// What is decided of a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Paced {
-    /// It may go.
-    LetIn,
-    /// It is refused, and may come back after this time.
+pub enum PacingDecision {
+    /// The request may be sent.
+    Admitted,
+    /// The request is refused; the caller should retry after this delay.
     Refused(Duration),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct TurnedAway {
-    by: NameHash,
+struct Rejection {
+    upstream: NameHash,
     at: Instant,
 }
 
-/// What is let in while there is a pace.
+/// Token bucket with an adaptive rate.
 #[derive(Clone, Copy, Debug)]
-struct Pace {
-    /// Requests a second.
+struct RateLimit {
+    /// Requests per second.
     per_second: f64,
-    /// Requests that may be let in now; below zero, they were let in ahead of it.
-    saved: f64,
-    /// When those were last counted.
-    counted: Instant,
-    /// When the pace last fell.
-    fell: Instant,
-    /// When an answer was last late or turned away.
-    troubled: Instant,
+    /// Requests that may be admitted now; negative if some were admitted in excess of the rate.
+    tokens: f64,
+    refilled_at: Instant,
+    decreased_at: Instant,
+    /// Time of the last rejected or late request.
+    overloaded_at: Instant,
 }
 
-impl Pace {
-    fn count(&mut self, now: Instant) {
-        let earned = self.per_second * now.since(self.counted).as_secs_f64();
-        let most = (self.per_second * SAVED.as_secs_f64()).max(1.0);
-        self.saved = (self.saved + earned).min(most);
-        self.counted = now;
+impl RateLimit {
+    fn refill(&mut self, now: Instant) {
+        let earned = self.per_second * now.since(self.refilled_at).as_secs_f64();
+        let max_tokens = (self.per_second * BURST_DURATION.as_secs_f64()).max(1.0);
+        self.tokens = (self.tokens + earned).min(max_tokens);
+        self.refilled_at = now;
     }
 
-    fn let_in(&mut self) {
-        // What is let in ahead of the pace is owed for a second at most.
-        self.saved = (self.saved - 1.0).max(-self.per_second);
+    fn take_token(&mut self) {
+        // The deficit is limited to the tokens of one second.
+        self.tokens = (self.tokens - 1.0).max(-self.per_second);
     }
 
-    fn fall(&mut self, now: Instant) {
-        self.troubled = now;
-        if now.since(self.fell) >= CUT_EVERY {
-            self.per_second = (self.per_second * CUT).max(LEAST);
-            self.fell = now;
+    fn decrease(&mut self, now: Instant) {
+        self.overloaded_at = now;
+        if now.since(self.decreased_at) >= DECREASE_INTERVAL {
+            self.per_second = (self.per_second * DECREASE_FACTOR).max(MIN_REQUESTS_PER_SECOND);
+            self.decreased_at = now;
         }
     }
 }
 
-/// What a router lets in of one pool's requests.
+/// Adaptive rate limiter of one router for one pool.
 #[derive(Debug)]
 pub struct Pacer {
-    pace: Option<Pace>,
-    /// Who turned requests away lately, each once.
-    turned_away: Vec<TurnedAway>,
-    /// Answers, in time or not.
-    served: Rate,
-    asked: FxHashMap<Asker, Rate>,
+    rate_limit: Option<RateLimit>,
+    /// Latest rejection of each upstream within [`REJECTION_WINDOW`].
+    rejections: Vec<Rejection>,
+    /// Rate of responses, in time or late.
+    response_rate: DecayingRate,
+    demands: FxHashMap<Requester, DecayingRate>,
 }
 
 impl Default for Pacer {
     fn default() -> Self {
-        let served = Rate::over(FULL_WITHIN);
-        Self { pace: None, turned_away: Vec::new(), served, asked: FxHashMap::default() }
+        let response_rate = DecayingRate::new(REJECTION_WINDOW);
+        Self { rate_limit: None, rejections: Vec::new(), response_rate, demands: FxHashMap::default() }
     }
 }
 
 impl Pacer {
-    /// Requests a second that are let in; `None` is all.
+    /// Returns the rate limit in requests per second, or `None` if there is no limit.
     #[must_use]
-    pub fn pace(&self) -> Option<f64> {
-        self.pace.map(|pace| pace.per_second)
+    pub fn rate_limit(&self) -> Option<f64> {
+        self.rate_limit.map(|limit| limit.per_second)
     }
 
-    /// Decides on a request; `spread` is uniform in 0 to 1, so that those who are refused together do not come back
-    /// together.
-    pub fn decide(&mut self, asker: Asker, spread: f64, now: Instant) -> Paced {
-        self.asked.entry(asker).or_insert(Rate::over(DEMAND_OVER)).note(now);
-        let Some(mut pace) = self.pace else { return Paced::LetIn };
+    /// Admits or refuses a request. `jitter` is uniform in `[0, 1]` and spreads the retries of callers that are
+    /// refused together.
+    pub fn decide(&mut self, requester: Requester, jitter: f64, now: Instant) -> PacingDecision {
+        self.demands.entry(requester).or_insert(DecayingRate::new(DEMAND_TIME_CONSTANT)).record(now);
+        let Some(mut limit) = self.rate_limit else { return PacingDecision::Admitted };
         let demand = self.total_demand(now);
-        if now.since(pace.troubled) > CALM && demand < pace.per_second {
-            self.pace = None;
-            return Paced::LetIn;
+        if now.since(limit.overloaded_at) > RECOVERY_DURATION && demand < limit.per_second {
+            self.rate_limit = None;
+            return PacingDecision::Admitted;
+        }
+        limit.refill(now);
+        let is_within_fair_rate =
+            self.demand_of(requester, now) <= self.fair_rate(requester, limit.per_second, now);
+        let is_admitted = is_within_fair_rate || limit.tokens >= 1.0;
+        if is_admitted {
+            limit.take_token();
         }
-        pace.count(now);
-        let wants_its_part_at_most = self.demand_of(asker, now) <= self.part_of(asker, pace.per_second, now);
-        let is_let_in = wants_its_part_at_most || pace.saved >= 1.0;
-        if is_let_in {
-            pace.let_in();
+        self.rate_limit = Some(limit);
+        if is_admitted {
+            PacingDecision::Admitted
+        } else {
+            PacingDecision::Refused(retry_delay(demand / limit.per_second, jitter))
         }
-        self.pace = Some(pace);
-        if is_let_in { Paced::LetIn } else { Paced::Refused(back_after(demand / pace.per_second, spread)) }
     }
 
-    /// Notes an answer that came so long after its request.
-    pub fn answered(&mut self, took: Duration, target: Duration, now: Instant) {
-        self.served.note(now);
-        let Some(pace) = &mut self.pace else { return };
-        if took > target.mul_f64(LATE) {
-            pace.fall(now);
+    /// Records a response that took `latency`, where `target_latency` is that of the route.
+    pub fn record_response(&mut self, latency: Duration, target_latency: Duration, now: Instant) {
+        self.response_rate.record(now);
+        let Some(limit) = &mut self.rate_limit else { return };
+        if latency > target_latency.mul_f64(LATE_FRACTION) {
+            limit.decrease(now);
         } else {
-            pace.per_second += RISE;
+            limit.per_second += INCREASE_PER_RESPONSE;
         }
     }
 
-    /// Notes that an upstream turned a request away for want of room, one of so many that take work.
-    pub fn turned_away(&mut self, by: NameHash, upstreams: usize, now: Instant) {
-        self.turned_away.retain(|before| before.by != by && now.since(before.at) < FULL_WITHIN);
-        self.turned_away.push(TurnedAway { by, at: now });
-        if let Some(pace) = &mut self.pace {
-            return pace.fall(now);
+    /// Records that `upstream` rejected a request for lack of capacity. `upstream_count` is the number of upstreams of
+    /// the pool that accept work.
+    pub fn record_rejection(&mut self, upstream: NameHash, upstream_count: usize, now: Instant) {
+        self.rejections
+            .retain(|earlier| earlier.upstream != upstream && now.since(earlier.at) < REJECTION_WINDOW);
+        self.rejections.push(Rejection { upstream, at: now });
+        if let Some(limit) = &mut self.rate_limit {
+            return limit.decrease(now);
         }
-        if self.turned_away.len() >= upstreams.clamp(1, WITNESSES) {
-            let per_second = f64::from(self.served.per_second(now)).max(LEAST);
-            self.pace = Some(Pace { per_second, saved: 0.0, counted: now, fell: now, troubled: now });
+        if self.rejections.len() >= upstream_count.clamp(1, MIN_REJECTING_UPSTREAMS) {
+            let per_second = f64::from(self.response_rate.per_second(now)).max(MIN_REQUESTS_PER_SECOND);
+            self.rate_limit = Some(RateLimit {
+                per_second,
+                tokens: 0.0,
+                refilled_at: now,
+                decreased_at: now,
+                overloaded_at: now,
+            });
         }
     }
 
-    /// Forgets customers that ask for nothing.
+    /// Removes requesters whose demand has decayed to nearly zero.
     pub fn prune(&mut self, now: Instant) {
-        /// One request in a minute and a half or less.
-        const NOTHING: f32 = 0.01;
-        self.asked.retain(|_, demand| demand.per_second(now) > NOTHING);
+        const MIN_DEMAND_PER_SECOND: f32 = 0.01;
+        self.demands.retain(|_, demand| demand.per_second(now) > MIN_DEMAND_PER_SECOND);
     }
 
-    fn demand_of(&self, asker: Asker, now: Instant) -> f64 {
-        self.asked.get(&asker).map_or(0.0, |demand| f64::from(demand.per_second(now)))
+    fn demand_of(&self, requester: Requester, now: Instant) -> f64 {
+        self.demands.get(&requester).map_or(0.0, |demand| f64::from(demand.per_second(now)))
     }
 
     fn total_demand(&self, now: Instant) -> f64 {
-        self.asked.values().map(|demand| f64::from(demand.per_second(now))).sum()
+        self.demands.values().map(|demand| f64::from(demand.per_second(now))).sum()
     }
 
-    /// What an asker may have of the pace: of what the more urgent leave, a fair part.
-    fn part_of(&self, asker: Asker, pace: f64, now: Instant) -> f64 {
-        let demands = || self.asked.iter().map(|(other, demand)| (other, f64::from(demand.per_second(now))));
-        let before = demands().filter(|(other, _)| other.priority < asker.priority);
-        let left = (pace - before.map(|(_, demand)| demand).sum::<f64>()).max(0.0);
-        let equals = || demands().filter(|(other, _)| other.priority == asker.priority);
-        let wants: Vec<Want> =
-            equals().map(|(_, amount)| Want { weight: 1.0, amount, growing: false }).collect();
-        let own = equals().position(|(other, _)| *other == asker);
-        own.map_or(left, |own| fill(&wants, left)[own])
+    /// Returns the requester's fair part of the rate that more urgent requests leave, in requests per second.
+    fn fair_rate(&self, requester: Requester, per_second: f64, now: Instant) -> f64 {
+        let demands =
+            || self.demands.iter().map(|(other, demand)| (other, f64::from(demand.per_second(now))));
+        let more_urgent = demands().filter(|(other, _)| other.priority < requester.priority);
+        let remaining = (per_second - more_urgent.map(|(_, demand)| demand).sum::<f64>()).max(0.0);
+        let same_priority = || demands().filter(|(other, _)| other.priority == requester.priority);
+        let weighted: Vec<WeightedDemand> = same_priority()
+            .map(|(_, amount)| WeightedDemand { weight: 1.0, amount, is_growing: false })
+            .collect();
+        let own = same_priority().position(|(other, _)| *other == requester);
+        own.map_or(remaining, |own| max_min_fair_shares(&weighted, remaining)[own])
     }
 }
 
-/// When to come back, if so many times as much is asked as is let in.
-fn back_after(crowd: f64, spread: f64) -> Duration {
-    let shortest = BACK_AFTER.mul_f64(crowd.max(1.0)).min(BACK_AT_LAST / 2);
-    shortest.mul_f64(1.0 + spread)
+/// Returns the delay before a retry; `overload_ratio` is the demand relative to the rate limit.
+fn retry_delay(overload_ratio: f64, jitter: f64) -> Duration {
+    let min_delay = MIN_RETRY_AFTER.mul_f64(overload_ratio.max(1.0)).min(MAX_RETRY_AFTER / 2);
+    min_delay.mul_f64(1.0 + jitter)
 }
--- /dev/null
+++ b/crates/bendhinge_admission/src/router_retry_budget.rs
@@ -0,0 +1,151 @@
+//! One router's part of the retry budget that the whole fleet shares for a pool.
+//!
+//! The fleet's budget counts requests and retries within a window, and each router counts within the same window.
+//! It can therefore spend at once all retries earned in the window, as needed when an upstream with many requests in
+//! progress fails. A token bucket could not: its capacity would be only the router's part of the base retries.
+//!
+//! In a large fleet, the part of a router is often less than one retry. Rounding it up would exceed the budget of the
+//! fleet, and rounding it down would allow no retries at all. Values below one are therefore rounded randomly, up with
+//! a probability equal to the value.
+
+use std::collections::VecDeque;
+use std::time::Duration;
+
+use bendhinge_ids::{Instant, hash_to_fraction};
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+/// Retry budget of the whole fleet for one pool: within any `window`, `ratio` retries per request plus `base_retries`.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FleetRetryBudget {
+    /// Retries per request.
+    pub ratio: f64,
+    /// Retries allowed regardless of the number of requests.
+    pub base_retries: f64,
+    /// Window within which requests and retries are counted.
+    pub window: Duration,
+}
+
+impl FleetRetryBudget {
+    /// Fraction of the ratio that is used. The margin covers requests and their retries that fall into different
+    /// windows.
+    const USED_RATIO_FRACTION: f64 = 0.8;
+    /// Fraction of the base retries that is used. The margin covers routers that restart or do not know of each other.
+    const USED_BASE_FRACTION: f64 = 0.5;
+
+    /// Creates the budget of one router, which has `base_share` of the base retries and the random number `seed`.
+    ///
+    /// Each router earns retries with its own requests only, so the budgets of all routers add up to that of the fleet
+    /// without coordination, whatever the distribution of requests.
+    #[must_use]
+    pub fn router_budget(self, base_share: f64, seed: u64) -> RouterRetryBudget {
+        RouterRetryBudget {
+            ratio: self.ratio * Self::USED_RATIO_FRACTION,
+            base_share,
+            rounding: RandomRounding { seed, period: self.window * WINDOWS_PER_DRAW },
+            bucket_duration: self.window / BUCKETS_PER_WINDOW,
+            buckets: VecDeque::new(),
+        }
+    }
+
+    /// Returns the part of the base retries for one of `router_count` routers.
+    #[must_use]
+    pub fn base_share(self, router_count: usize) -> f64 {
+        self.base_retries * Self::USED_BASE_FRACTION / router_count.max(1) as f64
+    }
+}
+
+/// Number of windows for which a random number stays valid. A router may spend two budgets in a window in which its
+/// number changes; a longer validity reduces the fraction of routers that change theirs in the same window.
+const WINDOWS_PER_DRAW: u32 = 6;
+
+/// Random rounding of a router's budget, with a random number that changes every `period`.
+#[derive(Clone, Copy, Debug)]
+struct RandomRounding {
+    seed: u64,
+    period: Duration,
+}
+
+impl RandomRounding {
+    /// Returns the random number in `[0, 1)` for the period of `now`; larger values are rounded up.
+    fn draw(self, now: Instant) -> f64 {
+        let period_micros = u64::try_from(self.period.as_micros()).unwrap_or(u64::MAX).max(1);
+        let period_index = (now.0 + self.seed % period_micros) / period_micros;
+        hash_to_fraction(xxh3_64_with_seed(&period_index.to_le_bytes(), self.seed))
+    }
+}
+
+/// Number of buckets into which the window is divided. One more is retained, so that all retries within the window are
+/// counted.
+const BUCKETS_PER_WINDOW: u32 = 20;
+/// Number of buckets from which the current request rate is estimated.
+const RECENT_BUCKETS: u32 = 5;
+
+/// Requests and retries within one bucket of time.
+#[derive(Clone, Copy, Debug)]
+struct Bucket {
+    started_at: Instant,
+    requests: u32,
+    retries: u32,
+}
+
+/// Retry budget of one router, earned by its requests within the window.
+#[derive(Clone, Debug)]
+pub struct RouterRetryBudget {
+    ratio: f64,
+    base_share: f64,
+    rounding: RandomRounding,
+    bucket_duration: Duration,
+    /// Oldest first; buckets without requests or retries are absent.
+    buckets: VecDeque<Bucket>,
+}
+
+impl RouterRetryBudget {
+    /// Records the first attempt of a request.
+    pub fn record_request(&mut self, now: Instant) {
+        self.current_bucket(now).requests += 1;
+    }
+
+    /// Takes one retry from the budget; returns `false` if it is exhausted.
+    pub fn try_retry(&mut self, now: Instant) -> bool {
+        self.current_bucket(now);
+        let spent: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
+        let budget = self.base_share + self.ratio * self.counted_requests(now);
+        let is_rounded_up = budget < 1.0 && self.rounding.draw(now) < budget;
+        let is_allowed = f64::from(spent) + 1.0 <= if is_rounded_up { 1.0 } else { budget };
+        if is_allowed {
+            self.current_bucket(now).retries += 1;
+        }
+        is_allowed
+    }
+
+    /// Sets this router's part of the base retries.
+    pub fn set_base_share(&mut self, base_share: f64) {
+        self.base_share = base_share;
+    }
+
+    /// Returns the number of requests that earn retries: those within the window, but no more than the current rate
+    /// would give. After a burst, its requests no longer count in full, since the following windows contain fewer.
+    fn counted_requests(&self, now: Instant) -> f64 {
+        let requests_within = |bucket_count: u32| -> f64 {
+            let period = self.bucket_duration * bucket_count;
+            let counted = self.buckets.iter().filter(|bucket| now.since(bucket.started_at) < period);
+            counted.map(|bucket| f64::from(bucket.requests)).sum()
+        };
+        let at_current_rate =
+            requests_within(RECENT_BUCKETS) * f64::from(BUCKETS_PER_WINDOW) / f64::from(RECENT_BUCKETS);
+        requests_within(BUCKETS_PER_WINDOW).min(at_current_rate)
+    }
+
+    /// Drops expired buckets and returns the bucket of `now`.
+    fn current_bucket(&mut self, now: Instant) -> &mut Bucket {
+        let retention = self.bucket_duration * (BUCKETS_PER_WINDOW + 1);
+        while self.buckets.front().is_some_and(|bucket| now.since(bucket.started_at) >= retention) {
+            self.buckets.pop_front();
+        }
+        if self.buckets.back().is_none_or(|bucket| now.since(bucket.started_at) >= self.bucket_duration) {
+            self.buckets.push_back(Bucket { started_at: now, requests: 0, retries: 0 });
+        }
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
+    }
+}
--- a/crates/bendhinge_admission/src/rules.rs
+++ b/crates/bendhinge_admission/src/rules.rs
@@ -1,50 +1,50 @@
-//! The rules that a confirmed configuration gives, with positions in place of names.
+//! Admission rules derived from a confirmed configuration, with indices in place of names.
 
 use std::time::Duration;
 
-/// The position of a class in [`Rules`].
+/// Index of a class in [`AdmissionRules`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
 
-/// The position of a customer in [`Rules`].
+/// Index of a customer in [`AdmissionRules`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CustomerIndex(pub usize);
 
-/// The position of a pool in [`Rules`].
+/// Index of a pool in [`AdmissionRules`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PoolIndex(pub usize);
 
-/// A class.
+/// Rule of a priority class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassRule {
-    /// Its part of a full pool, relative to other classes.
+    /// Share of a full pool, relative to other classes.
     pub share: f64,
 }
 
-/// A customer.
+/// Rule of a customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CustomerRule {
-    /// Its class.
+    /// Priority class of the customer.
     pub class: ClassIndex,
-    /// Requests in progress in the whole fleet.
+    /// Maximum number of requests in progress in the whole fleet.
     pub limit: u32,
-    /// Its part of its class, relative to other customers.
+    /// Share of the class, relative to other customers.
     pub share: f64,
 }
 
-/// A pool.
+/// Rule of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolRule {
-    /// Requests that its serving upstreams run at once.
+    /// Number of requests that the pool's serving upstreams process concurrently.
     pub slots: u32,
-    /// How long a turn usually takes, until turns were measured.
-    pub turn: Duration,
+    /// Estimate of the service time of a request, used until service times have been measured.
+    pub initial_service_time: Duration,
 }
 
-/// All rules of a revision.
+/// All rules of a configuration revision.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Rules {
-    /// Classes.
+pub struct AdmissionRules {
+    /// Priority classes.
     pub classes: Vec<ClassRule>,
     /// Customers.
     pub customers: Vec<CustomerRule>,
--- a/crates/bendhinge_admission/src/usage.rs
+++ b/crates/bendhinge_admission/src/usage.rs
@@ -1,23 +1,23 @@
-//! What requests are in progress and wanted, by class and customer.
+//! Counts of requests in progress and refused, by class and customer.
 
 use std::collections::HashMap;
 use std::ops::AddAssign;
 
-use crate::{ClassIndex, CustomerIndex, PoolIndex, Rules};
+use crate::{AdmissionRules, ClassIndex, CustomerIndex, PoolIndex};
 
-/// Requests of one kind.
+/// Request counts of one class or customer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// In progress now.
+    /// Requests in progress.
     pub in_progress: u32,
-    /// Refused in the last round, hence wanted besides.
+    /// Requests refused in the most recent round, which count as additional demand.
     pub refused: u32,
 }
 
 impl Usage {
-    /// What is wanted in all.
+    /// Returns the total demand: requests in progress and refused.
     #[must_use]
-    pub const fn wanted(self) -> u32 {
+    pub const fn demand(self) -> u32 {
         self.in_progress + self.refused
     }
 }
@@ -32,14 +32,14 @@
 /// Usage of one pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PoolUsage {
-    /// By class, in the order of the rules.
+    /// Usage by class, in the order of the rules.
     pub classes: Vec<Usage>,
-    /// By customer; those without any are left out.
+    /// Usage by customer; customers without usage are absent.
     pub customers: HashMap<CustomerIndex, Usage>,
 }
 
 impl PoolUsage {
-    pub(crate) fn new(rules: &Rules) -> Self {
+    pub(crate) fn new(rules: &AdmissionRules) -> Self {
         Self { classes: vec![Usage::default(); rules.classes.len()], customers: HashMap::new() }
     }
 
@@ -51,52 +51,52 @@
         self.customers.get(&customer).copied().unwrap_or_default()
     }
 
-    /// Requests in progress in the pool.
+    /// Returns the number of requests in progress in the pool.
     #[must_use]
     pub fn in_progress(&self) -> u32 {
         self.classes.iter().map(|usage| usage.in_progress).sum()
     }
 }
 
-/// Usage of all pools, as one router has it or as the sum over several.
+/// Usage of all pools, at one router or summed over several.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FleetUsage {
-    /// By pool, in the order of the rules.
+    /// Usage by pool, in the order of the rules.
     pub pools: Vec<PoolUsage>,
 }
 
 impl FleetUsage {
-    /// No usage at all.
+    /// Creates empty usage of all pools.
     #[must_use]
-    pub fn none(rules: &Rules) -> Self {
+    pub fn empty(rules: &AdmissionRules) -> Self {
         Self { pools: rules.pools.iter().map(|_| PoolUsage::new(rules)).collect() }
     }
 
-    /// Adds usage of one customer in one pool; its class's is added with it.
+    /// Adds usage of a customer in a pool, to both the customer and its class.
     pub fn add(&mut self, pool: PoolIndex, class: ClassIndex, customer: CustomerIndex, usage: Usage) {
         let Some(pool) = self.pools.get_mut(pool.0) else { return };
-        if let Some(of_class) = pool.classes.get_mut(class.0) {
-            *of_class += usage;
+        if let Some(class_usage) = pool.classes.get_mut(class.0) {
+            *class_usage += usage;
         }
         *pool.customers.entry(customer).or_default() += usage;
     }
 
-    /// Adds usage of a class whose customers are not told apart.
-    pub fn add_class(&mut self, pool: PoolIndex, class: ClassIndex, usage: Usage) {
-        let of_pool = self.pools.get_mut(pool.0);
-        if let Some(of_class) = of_pool.and_then(|pool| pool.classes.get_mut(class.0)) {
-            *of_class += usage;
+    /// Adds usage to a class only.
+    pub fn add_class_usage(&mut self, pool: PoolIndex, class: ClassIndex, usage: Usage) {
+        let pool_usage = self.pools.get_mut(pool.0);
+        if let Some(class_usage) = pool_usage.and_then(|pool| pool.classes.get_mut(class.0)) {
+            *class_usage += usage;
         }
     }
 
-    /// Adds usage of a customer whose class was added apart.
-    pub fn add_customer(&mut self, pool: PoolIndex, customer: CustomerIndex, usage: Usage) {
+    /// Adds usage to a customer only; that of its class is added with [`Self::add_class_usage`].
+    pub fn add_customer_usage(&mut self, pool: PoolIndex, customer: CustomerIndex, usage: Usage) {
         if let Some(pool) = self.pools.get_mut(pool.0) {
             *pool.customers.entry(customer).or_default() += usage;
         }
     }
 
-    /// A customer's requests in progress over all pools.
+    /// Returns the number of requests that a customer has in progress in all pools.
     #[must_use]
     pub fn customer_in_progress(&self, customer: CustomerIndex) -> u32 {
         self.pools.iter().map(|pool| pool.customer(customer).in_progress).sum()
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
 
-use bendhinge_admission::{Asker, Paced};
+use bendhinge_admission::{PacingDecision, Requester};
 use bendhinge_codes::ResultCode;
 use bendhinge_delivery::{Course, IdentityKey, RequestIdentity, SendEnd};
 use bendhinge_fleet::UpstreamFailure;
@@ -99,9 +99,9 @@
 }
 
 impl Turn {
-    fn asker(&self) -> Asker {
+    fn asker(&self) -> Requester {
         let customer = self.customer.as_ref().map_or("", |customer| customer.name.as_str());
-        Asker { priority: self.priority, customer: NameHash::of(customer) }
+        Requester { priority: self.priority, customer: NameHash::of(customer) }
     }
 
     /// Whether its key is still held by its customer, by rules that may be acted on.
@@ -156,7 +156,7 @@
         return Err(Refused::until(ResultCode::AllUpstreamsRest, rest));
     }
     let is_paced = delivering.is_paced(&turn.pool);
-    if is_paced && let Paced::Refused(after) = delivering.pacing.decide(&turn.pool, turn.asker()) {
+    if is_paced && let PacingDecision::Refused(after) = delivering.pacing.decide(&turn.pool, turn.asker()) {
         return Err(Refused::until(ResultCode::AllUpstreamsAtBound, after));
     }
     delivering.metrics.request();
--- a/crates/bendhinge_gateway/src/knowledge/upstreams.rs
+++ b/crates/bendhinge_gateway/src/knowledge/upstreams.rs
@@ -424,8 +424,8 @@
 
     fn note_demand(&mut self, pool: &PoolName, now: Instant) {
         match self.demand.get_mut(pool) {
-            Some(demand) => demand.note(now),
-            None => self.demand.entry(pool.clone()).or_default().note(now),
+            Some(demand) => demand.record(now),
+            None => self.demand.entry(pool.clone()).or_default().record(now),
         }
     }
 
--- a/crates/bendhinge_gateway/src/pacing.rs
+++ b/crates/bendhinge_gateway/src/pacing.rs
@@ -3,7 +3,7 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use bendhinge_admission::{Asker, Paced, Pacer};
+use bendhinge_admission::{Pacer, PacingDecision, Requester};
 use bendhinge_ids::{Instant, NameHash, PoolName};
 use rand::Rng;
 use rustc_hash::FxHashMap;
@@ -22,7 +22,7 @@
     }
 
     /// Decides on a request before it is sent anywhere.
-    pub(crate) fn decide(&self, pool: &PoolName, asker: Asker) -> Paced {
+    pub(crate) fn decide(&self, pool: &PoolName, asker: Requester) -> PacingDecision {
         let now = bendhinge_clock::now();
         let spread = rand::rng().random();
         self.with(pool, |pacer| pacer.decide(asker, spread, now))
@@ -31,12 +31,12 @@
     /// Notes an answer to a request that came at `began`.
     pub(crate) fn answered(&self, pool: &PoolName, began: Instant, target: Duration) {
         let now = bendhinge_clock::now();
-        self.with(pool, |pacer| pacer.answered(now.since(began), target, now));
+        self.with(pool, |pacer| pacer.record_response(now.since(began), target, now));
     }
 
     /// Notes that one of the pool's `upstreams` that take work turned a request away.
     pub(crate) fn turned_away(&self, pool: &PoolName, by: NameHash, upstreams: usize) {
-        self.with(pool, |pacer| pacer.turned_away(by, upstreams, bendhinge_clock::now()));
+        self.with(pool, |pacer| pacer.record_rejection(by, upstreams, bendhinge_clock::now()));
     }
 
     /// Forgets customers that ask for nothing.
@@ -51,9 +51,9 @@
             Some(pacer) => pacer,
             None => pacers.entry(pool.clone()).or_default(),
         };
-        let was_paced = pacer.pace().is_some();
+        let was_paced = pacer.rate_limit().is_some();
         let result = act(pacer);
-        let pace = pacer.pace();
+        let pace = pacer.rate_limit();
         drop(pacers);
         if pace.is_some() != was_paced {
             self.log.pace(pool, pace);
--- a/crates/bendhinge_gateway/src/retries.rs
+++ b/crates/bendhinge_gateway/src/retries.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Mutex;
 
-use bendhinge_admission::{FleetRetryBudget, RetryShare};
+use bendhinge_admission::{FleetRetryBudget, RouterRetryBudget};
 use bendhinge_ids::PoolName;
 use rand::Rng;
 use rustc_hash::FxHashMap;
@@ -18,7 +18,7 @@
 struct Shares {
     /// The part of the slack that is this gateway's.
     reserve: f64,
-    by_pool: FxHashMap<PoolName, RetryShare>,
+    by_pool: FxHashMap<PoolName, RouterRetryBudget>,
 }
 
 impl Retries {
@@ -34,24 +34,24 @@
         let now = bendhinge_clock::now();
         let mut shares = self.shares.lock().unwrap();
         if let Some(share) = shares.by_pool.get_mut(pool) {
-            return share.request(now);
+            return share.record_request(now);
         }
-        let mut share = self.fleet.share(shares.reserve, self.seed);
-        share.request(now);
+        let mut share = self.fleet.router_budget(shares.reserve, self.seed);
+        share.record_request(now);
         shares.by_pool.insert(pool.clone(), share);
     }
 
     /// Takes one further send; `false` if there is none left.
     pub(crate) fn second(&self, pool: &PoolName) -> bool {
         let now = bendhinge_clock::now();
-        self.shares.lock().unwrap().by_pool.get_mut(pool).is_some_and(|share| share.retry(now))
+        self.shares.lock().unwrap().by_pool.get_mut(pool).is_some_and(|share| share.try_retry(now))
     }
 
     /// Divides the budget among as many `gateways` as are known.
     pub(crate) fn divide_among(&self, gateways: usize) {
-        let reserve = self.fleet.reserve(gateways);
+        let reserve = self.fleet.base_share(gateways);
         let mut shares = self.shares.lock().unwrap();
         shares.reserve = reserve;
-        shares.by_pool.values_mut().for_each(|share| share.set_reserve(reserve));
+        shares.by_pool.values_mut().for_each(|share| share.set_base_share(reserve));
     }
 }
--- a/crates/bendhinge_gateway/src/settings/mod.rs
+++ b/crates/bendhinge_gateway/src/settings/mod.rs
@@ -304,7 +304,7 @@
         let ratio = self.0.amount(section, "ratio");
         let slack = self.0.amount(section, "slack");
         let span = self.0.seconds(section, "span_s");
-        Some(FleetRetryBudget { ratio: ratio?, slack: slack?, span: span? })
+        Some(FleetRetryBudget { ratio: ratio?, base_retries: slack?, window: span? })
     }
 
     fn stop(&self, section: &Section) -> Option<StopSettings> {
--- a/crates/bendhinge_lab/src/bench/admission.rs
+++ b/crates/bendhinge_lab/src/bench/admission.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use bendhinge_admission::{
-    Admission, Ask, ClassIndex, ClassRule, CustomerIndex, CustomerRule, FleetUsage, PoolIndex, PoolRule,
-    RefusalReason, Rules, Usage, Want, fill,
+    AdmissionController, AdmissionRequest, AdmissionRules, ClassIndex, ClassRule, CustomerIndex,
+    CustomerRule, FleetUsage, PoolIndex, PoolRule, RefusalReason, Usage, WeightedDemand, max_min_fair_shares,
 };
 use bendhinge_ids::Instant;
 use rand::{Rng, SeedableRng};
@@ -92,35 +92,35 @@
 
     /// What each class may have by a fair division of what is truly wanted.
     fn class_dues(&self) -> Vec<f64> {
-        let wants: Vec<Want> = (0..SHARES.len())
+        let wants: Vec<WeightedDemand> = (0..SHARES.len())
             .map(|class| {
                 let refused = self.refused(|customer| CUSTOMERS[customer].class == class);
-                Want {
+                WeightedDemand {
                     weight: SHARES[class],
                     amount: f64::from(self.class(class) + refused),
-                    growing: refused > 0,
+                    is_growing: refused > 0,
                 }
             })
             .collect();
-        fill(&wants, f64::from(SLOTS))
+        max_min_fair_shares(&wants, f64::from(SLOTS))
     }
 
     /// What each customer of a class may have of the class's due.
     fn customer_dues(&self, class: usize, due: f64) -> Vec<(usize, f64)> {
         let active: Vec<usize> =
             (0..CUSTOMERS.len()).filter(|customer| CUSTOMERS[*customer].class == class).collect();
-        let wants: Vec<Want> = active
+        let wants: Vec<WeightedDemand> = active
             .iter()
             .map(|customer| {
                 let refused = self.refused(|other| other == *customer);
-                Want {
+                WeightedDemand {
                     weight: 1.0,
                     amount: f64::from(self.customers[*customer] + refused),
-                    growing: refused > 0,
+                    is_growing: refused > 0,
                 }
             })
             .collect();
-        active.into_iter().zip(fill(&wants, due)).collect()
+        active.into_iter().zip(max_min_fair_shares(&wants, due)).collect()
     }
 }
 
@@ -138,7 +138,7 @@
     random: ChaCha8Rng,
     queue: BinaryHeap<Reverse<(Instant, u64, Event)>>,
     next: u64,
-    routers: Vec<Admission>,
+    routers: Vec<AdmissionController>,
     weights: Vec<f64>,
     told: VecDeque<(Instant, Vec<FleetUsage>)>,
     truth: Truth,
@@ -151,14 +151,14 @@
     busy: (f64, f64),
 }
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> AdmissionRules {
+    AdmissionRules {
         classes: SHARES.iter().map(|share| ClassRule { share: *share }).collect(),
         customers: CUSTOMERS
             .iter()
             .map(|plan| CustomerRule { class: ClassIndex(plan.class), limit: plan.limit, share: 1.0 })
             .collect(),
-        pools: vec![PoolRule { slots: SLOTS, turn: TURN }],
+        pools: vec![PoolRule { slots: SLOTS, initial_service_time: TURN }],
     }
 }
 
@@ -179,7 +179,7 @@
         random,
         queue: BinaryHeap::new(),
         next: 0,
-        routers: (0..routers).map(|_| Admission::new(rules(), routers)).collect(),
+        routers: (0..routers).map(|_| AdmissionController::new(rules(), routers)).collect(),
         weights,
         told: VecDeque::new(),
         truth: Truth::default(),
@@ -268,7 +268,12 @@
         }
         self.requests += 1;
         let router = self.router();
-        let ask = Ask { pool: POOL, customer: CustomerIndex(customer), deadline: None, pool_in_progress: 0 };
+        let ask = AdmissionRequest {
+            pool: POOL,
+            customer: CustomerIndex(customer),
+            deadline: None,
+            pool_in_progress: 0,
+        };
         match self.routers[router].decide(ask, 0.5) {
             Ok(()) => {
                 self.truth.customers[customer] += 1;
@@ -284,7 +289,7 @@
         let class = CUSTOMERS[customer].class;
         self.false_refusals += u64::from(self.is_false(customer, reason, 1.0));
         self.false_by_a_twentieth += u64::from(self.is_false(customer, reason, 0.95));
-        if reason == RefusalReason::OverShare {
+        if reason == RefusalReason::ShareExceeded {
             self.truth.refused.push_back((now, customer));
             self.window.class_refused[class] += 1;
             self.window.customer_refused[customer] += 1;
@@ -296,8 +301,8 @@
         let class = CUSTOMERS[customer].class;
         let own = f64::from(self.truth.customers[customer]);
         match reason {
-            RefusalReason::CustomerAtLimit => own + 1.0 <= part * f64::from(CUSTOMERS[customer].limit),
-            RefusalReason::OverShare => {
+            RefusalReason::CustomerLimitReached => own + 1.0 <= part * f64::from(CUSTOMERS[customer].limit),
+            RefusalReason::ShareExceeded => {
                 let due = self.truth.class_dues()[class];
                 let customer_dues = self.truth.customer_dues(class, due);
                 let own_due =
@@ -306,7 +311,7 @@
                 let class_free = f64::from(self.truth.class(class)) + 1.0 <= part * due;
                 pool_free && class_free && own + 1.0 <= part * own_due
             }
-            RefusalReason::Deadline => true,
+            RefusalReason::DeadlineUnreachable => true,
         }
     }
 
@@ -317,7 +322,7 @@
 
     fn round(&mut self, now: Instant) {
         self.push(ROUND, now, Event::Round);
-        let usages = self.routers.iter().map(|router| router.own().clone()).collect();
+        let usages = self.routers.iter().map(|router| router.own_usage().clone()).collect();
         self.told.push_back((now, usages));
         while self.told.len() > 1 && now.since(self.told[1].0) >= LAG {
             self.told.pop_front();
@@ -326,7 +331,7 @@
             self.told.front().filter(|(at, _)| now.since(*at) >= LAG).map(|(_, usages)| usages.clone());
         let routers = self.routers.len();
         for index in 0..routers {
-            let mut others = FleetUsage::none(&rules());
+            let mut others = FleetUsage::empty(&rules());
             for (_, usage) in heard.iter().flatten().enumerate().filter(|(other, _)| *other != index) {
                 add(&mut others, usage);
             }
@@ -386,9 +391,9 @@
 
 fn add(sum: &mut FleetUsage, usage: &FleetUsage) {
     for (class, of_class) in usage.pools[POOL.0].classes.iter().enumerate() {
-        sum.add_class(POOL, ClassIndex(class), *of_class);
+        sum.add_class_usage(POOL, ClassIndex(class), *of_class);
     }
     for (customer, of_customer) in &usage.pools[POOL.0].customers {
-        sum.add_customer(POOL, *customer, Usage { ..*of_customer });
+        sum.add_customer_usage(POOL, *customer, Usage { ..*of_customer });
     }
 }
--- a/crates/bendhinge_lab/src/bench/decision.rs
+++ b/crates/bendhinge_lab/src/bench/decision.rs
@@ -5,7 +5,8 @@
 use std::time::{Duration, Instant as Clock};
 
 use bendhinge_admission::{
-    Admission, Ask, ClassIndex, ClassRule, CustomerIndex, CustomerRule, PoolIndex, PoolRule, Rules,
+    AdmissionController, AdmissionRequest, AdmissionRules, ClassIndex, ClassRule, CustomerIndex,
+    CustomerRule, PoolIndex, PoolRule,
 };
 use bendhinge_configuration::{SealKey, canonical_document};
 use bendhinge_delivery::{IdentityKey, RequestIdentity};
@@ -106,18 +107,18 @@
 #[must_use]
 pub fn admit_ns(customers: usize, pools: usize) -> f64 {
     const CLASSES: usize = 3;
-    let rules = Rules {
+    let rules = AdmissionRules {
         classes: vec![ClassRule { share: 1.0 }; CLASSES],
         customers: (0..customers)
             .map(|number| CustomerRule { class: ClassIndex(number % CLASSES), limit: 1_000, share: 1.0 })
             .collect(),
-        pools: vec![PoolRule { slots: 10_000, turn: Duration::from_secs(8) }; pools],
+        pools: vec![PoolRule { slots: 10_000, initial_service_time: Duration::from_secs(8) }; pools],
     };
-    let mut admission = Admission::new(rules, 9);
+    let mut admission = AdmissionController::new(rules, 9);
     let began = Clock::now();
     for round in 0..ROUNDS as usize {
         let (pool, customer) = (PoolIndex(round % pools), CustomerIndex(round % customers));
-        let ask = Ask { pool, customer, deadline: None, pool_in_progress: 9_000 };
+        let ask = AdmissionRequest { pool, customer, deadline: None, pool_in_progress: 9_000 };
         if black_box(admission.decide(ask, 0.5)).is_ok() {
             admission.finish(pool, customer, None);
         }
--- a/crates/bendhinge_lab/src/bench/plain_pool.rs
+++ b/crates/bendhinge_lab/src/bench/plain_pool.rs
@@ -8,7 +8,7 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
 
-use bendhinge_admission::{Asker, FleetRetryBudget, Paced, Pacer, RetryShare};
+use bendhinge_admission::{FleetRetryBudget, Pacer, PacingDecision, Requester, RouterRetryBudget};
 use bendhinge_ids::{Instant, NameHash};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -32,7 +32,8 @@
 const OBEYS: Duration = Duration::from_millis(800);
 /// What a caller is told whose request all upstreams turned away.
 const SOON: Duration = Duration::from_millis(160);
-const BUDGET: FleetRetryBudget = FleetRetryBudget { ratio: 0.2, slack: 196.0, span: Duration::from_secs(10) };
+const BUDGET: FleetRetryBudget =
+    FleetRetryBudget { ratio: 0.2, base_retries: 196.0, window: Duration::from_secs(10) };
 
 /// How requests are let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +90,7 @@
 
 struct Router {
     pacer: Pacer,
-    budget: RetryShare,
+    budget: RouterRetryBudget,
 }
 
 enum Event {
@@ -121,7 +122,8 @@
 /// Plays the load.
 #[must_use]
 pub fn run(way: Way, seed: u64) -> Seen {
-    let router = || Router { pacer: Pacer::default(), budget: BUDGET.share(BUDGET.reserve(ROUTERS), 0) };
+    let router =
+        || Router { pacer: Pacer::default(), budget: BUDGET.router_budget(BUDGET.base_share(ROUTERS), 0) };
     let mut model = Model {
         way,
         random: ChaCha8Rng::seed_from_u64(seed),
@@ -192,15 +194,15 @@
             self.counts.asked[usize::from(request.customer == 0)] += 1;
         }
         self.counts.requests += 1;
-        self.routers[request.router].budget.request(now);
+        self.routers[request.router].budget.record_request(now);
         let refused = match self.way {
             Way::All => None,
             Way::Paced => {
-                let asker = Asker { priority: 2, customer: NameHash(request.customer as u64) };
+                let asker = Requester { priority: 2, customer: NameHash(request.customer as u64) };
                 let random = self.random.random();
                 match self.routers[request.router].pacer.decide(asker, random, now) {
-                    Paced::LetIn => None,
-                    Paced::Refused(after) => Some(after),
+                    PacingDecision::Admitted => None,
+                    PacingDecision::Refused(after) => Some(after),
                 }
             }
             Way::Counted => self.counted(&request).then(|| Duration::from_millis(500)),
@@ -246,8 +248,8 @@
         }
         let now = instant(at);
         let router = &mut self.routers[request.router];
-        router.pacer.turned_away(NameHash(chosen as u64), UPSTREAMS, now);
-        if router.budget.retry(now) {
+        router.pacer.record_rejection(NameHash(chosen as u64), UPSTREAMS, now);
+        if router.budget.try_retry(now) {
             self.counts.second_sends += 1;
             self.send(request, at + 2_000);
         } else {
@@ -264,7 +266,7 @@
         let took = Duration::from_micros(at - request.first);
         let now = instant(at);
         let since_it_came = Duration::from_micros(at - request.came);
-        self.routers[request.router].pacer.answered(since_it_came, TARGET, now);
+        self.routers[request.router].pacer.record_response(since_it_came, TARGET, now);
         if BURST_MICROS.contains(&request.first) {
             let large = usize::from(request.customer == 0);
             self.counts.answered[large] += 1;
--- a/crates/bendhinge_lab/src/bench/resting.rs
+++ b/crates/bendhinge_lab/src/bench/resting.rs
@@ -9,7 +9,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use bendhinge_admission::{FleetRetryBudget, RetryShare};
+use bendhinge_admission::{FleetRetryBudget, RouterRetryBudget};
 use bendhinge_fleet::{Judge, JudgeLimits, LearnedFrom, LoadSaid, Loads, Rests, Standing, UpstreamFailure};
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_placement::{Candidate, CostRules, KeptParts, PartId, Prompt, PromptPart, Question, choose};
@@ -44,7 +44,8 @@
     longest_rest: Duration::from_secs(4),
     half_life: Duration::from_secs(3),
 };
-const BUDGET: FleetRetryBudget = FleetRetryBudget { ratio: 0.2, slack: 58.0, span: Duration::from_secs(10) };
+const BUDGET: FleetRetryBudget =
+    FleetRetryBudget { ratio: 0.2, base_retries: 58.0, window: Duration::from_secs(10) };
 
 /// How a rest that an upstream asks for is heeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -123,7 +124,7 @@
     told: Rests,
     loads: Loads,
     kept: KeptParts,
-    share: RetryShare,
+    share: RouterRetryBudget,
 }
 
 #[derive(Clone, Copy)]
@@ -158,7 +159,7 @@
         told: Rests::default(),
         loads: Loads::default(),
         kept: KeptParts::new(Duration::from_mins(1)),
-        share: BUDGET.share(BUDGET.reserve(scene.routers), 0),
+        share: BUDGET.router_budget(BUDGET.base_share(scene.routers), 0),
     };
     let mut fleet = Fleet {
         way,
@@ -243,7 +244,7 @@
         let subject = self.random.random_range(0..SUBJECTS_EACH * self.scene.upstreams as u64);
         self.seen.requests += 1;
         let now = self.now;
-        self.routers[router].share.request(now);
+        self.routers[router].share.record_request(now);
         self.send(router, subject, Vec::new());
     }
 
@@ -346,7 +347,7 @@
             asker.rests.asked(chosen, REST, now);
         }
         asker.judge.failed(chosen, UpstreamFailure::Shed, now);
-        let may_go_on = asker.share.retry(now);
+        let may_go_on = asker.share.try_retry(now);
         let is_news = self.last_told[upstream].is_none_or(|last| now.since(last) > TOLD_EACH);
         if matches!(self.way, Way::ToldAll | Way::ToldAsHint) && is_news {
             self.last_told[upstream] = Some(now);
--- a/crates/bendhinge_lab/src/bench/warming.rs
+++ b/crates/bendhinge_lab/src/bench/warming.rs
@@ -109,7 +109,7 @@
 ) -> Option<usize> {
     let Sender { number, known, at } = sender;
     let now = Instant::from_millis(1_000 + at);
-    router.demand.note(now);
+    router.demand.record(now);
     // Subjects have their homes evenly.
     let home = random.random_range(0..UPSTREAMS);
     let interval = |sharing: usize| whole(sharing as f64 * 1_000.0 / f64::from(RATE));
--- a/crates/bendhinge_lab/tests/pacing.rs
+++ b/crates/bendhinge_lab/tests/pacing.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use bendhinge_admission::{Asker, Paced, Pacer};
+use bendhinge_admission::{Pacer, PacingDecision, Requester};
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_lab::bench::plain_pool::{TARGET, Way, run};
 
@@ -13,8 +13,8 @@
     Instant::from_millis(millis)
 }
 
-const fn asker(priority: u8, customer: u64) -> Asker {
-    Asker { priority, customer: NameHash(customer) }
+const fn asker(priority: u8, customer: u64) -> Requester {
+    Requester { priority, customer: NameHash(customer) }
 }
 
 #[test]
@@ -32,11 +32,11 @@
 fn where_nobody_is_turned_away_nobody_is_refused() {
     let mut pacer = Pacer::default();
     for millis in 0..5_000 {
-        assert_eq!(pacer.decide(asker(0, millis % 3), 0.5, at(millis)), Paced::LetIn);
-        pacer.answered(TARGET * 3, TARGET, at(millis));
+        assert_eq!(pacer.decide(asker(0, millis % 3), 0.5, at(millis)), PacingDecision::Admitted);
+        pacer.record_response(TARGET * 3, TARGET, at(millis));
     }
     assert_eq!(
-        pacer.pace(),
+        pacer.rate_limit(),
         None,
         "late answers alone say nothing of the pool: the box's own link may be slow"
     );
@@ -46,24 +46,24 @@
 fn one_upstream_that_turns_requests_away_is_no_full_pool() {
     let mut pacer = Pacer::default();
     for millis in (0..5_000).step_by(10) {
-        pacer.turned_away(NameHash(1), 3, at(millis));
+        pacer.record_rejection(NameHash(1), 3, at(millis));
     }
-    assert_eq!(pacer.pace(), None);
-    pacer.turned_away(NameHash(2), 3, at(5_000));
-    assert!(pacer.pace().is_some());
+    assert_eq!(pacer.rate_limit(), None);
+    pacer.record_rejection(NameHash(2), 3, at(5_000));
+    assert!(pacer.rate_limit().is_some());
     let mut alone = Pacer::default();
-    alone.turned_away(NameHash(1), 1, at(0));
-    assert!(alone.pace().is_some(), "there is no other to witness it");
+    alone.record_rejection(NameHash(1), 1, at(0));
+    assert!(alone.rate_limit().is_some(), "there is no other to witness it");
 }
 
 /// A router that sends ten a second, and was turned away at `millis`.
 fn full(millis: u64) -> Pacer {
     let mut pacer = Pacer::default();
     for before in (0..2_000).step_by(100) {
-        pacer.answered(IN_TIME, TARGET, at(millis - 2_000 + before));
+        pacer.record_response(IN_TIME, TARGET, at(millis - 2_000 + before));
     }
     for upstream in 0..2 {
-        pacer.turned_away(NameHash(upstream), 3, at(millis));
+        pacer.record_rejection(NameHash(upstream), 3, at(millis));
     }
     pacer
 }
@@ -75,7 +75,7 @@
     for millis in (10_000..13_000).step_by(25) {
         for priority in 0..2_u8 {
             let decided = pacer.decide(asker(priority, u64::from(priority)), 0.5, at(millis));
-            refused[usize::from(priority)] += u32::from(decided != Paced::LetIn);
+            refused[usize::from(priority)] += u32::from(decided != PacingDecision::Admitted);
         }
     }
     // Forty a second of each are asked, where some ten are let in.
@@ -89,8 +89,8 @@
         let mut pacer = full(10_000);
         let refusal = (10_000..12_000).step_by(asked_every).find_map(|millis| {
             match pacer.decide(asker(0, 1), spread, at(millis)) {
-                Paced::LetIn => None,
-                Paced::Refused(after) => Some(after),
+                PacingDecision::Admitted => None,
+                PacingDecision::Refused(after) => Some(after),
             }
         });
         refusal.unwrap()
@@ -105,7 +105,7 @@
     let mut pacer = full(10_000);
     for millis in (10_000..14_000).step_by(200) {
         let _ = pacer.decide(asker(0, 1), 0.5, at(millis));
-        pacer.answered(IN_TIME, TARGET, at(millis));
+        pacer.record_response(IN_TIME, TARGET, at(millis));
     }
-    assert_eq!(pacer.pace(), None);
+    assert_eq!(pacer.rate_limit(), None);
 }
--- a/crates/bendhinge_router/src/admission/mod.rs
+++ b/crates/bendhinge_router/src/admission/mod.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bendhinge_admission::{
-    Admission, Ask, ClassIndex, ClassRule, CustomerIndex, CustomerRule, FleetUsage, PoolRule, Refusal,
-    RetryBudget, Rules, Usage,
+    AdmissionController, AdmissionRequest, AdmissionRules, ClassIndex, ClassRule, CustomerIndex,
+    CustomerRule, FleetUsage, PoolRule, Refusal, RetryBudget, Usage,
 };
 use bendhinge_configuration::Configuration;
 use bendhinge_ids::{ConfigRevision, CustomerName, NameHash, PoolName};
@@ -25,7 +25,7 @@
 /// The state of admission, empty until a configuration is in force.
 #[derive(Default)]
 pub(crate) struct AdmissionState {
-    admission: Option<Admission>,
+    admission: Option<AdmissionController>,
     revision: ConfigRevision,
     /// What is in progress, by name, so that it can be carried over to a new configuration.
     held: HashMap<(PoolName, CustomerName), u32>,
@@ -83,12 +83,12 @@
     let pool_in_progress = node.loads.lock().unwrap().pool_load(&pool.name).in_progress;
     let mut state = node.admission.lock().unwrap();
     if let Some(admission) = &mut state.admission {
-        let ask = Ask { pool: pool.index, customer: index, deadline, pool_in_progress };
+        let ask = AdmissionRequest { pool: pool.index, customer: index, deadline, pool_in_progress };
         admission.decide(ask, spread)?;
     }
     *state.held.entry((pool.name.clone(), customer.clone())).or_default() += 1;
     if let Some(budget) = state.budgets.get_mut(&pool.name) {
-        budget.attempt();
+        budget.record_attempt();
     }
     drop(state);
     let began = bendhinge_clock::now();
@@ -104,7 +104,7 @@
 /// Takes a retry from the pool's budget; `false` if it is spent.
 pub(crate) fn may_retry(node: &Node, pool: &PoolName) -> bool {
     let mut state = node.admission.lock().unwrap();
-    state.budgets.get_mut(pool).is_some_and(RetryBudget::retry)
+    state.budgets.get_mut(pool).is_some_and(RetryBudget::try_retry)
 }
 
 /// Follows a new configuration, or new capacity under the same one.
@@ -116,7 +116,7 @@
     if same && state.revision == configuration.revision {
         return;
     }
-    let mut admission = Admission::new(rules, fleet.counting.len());
+    let mut admission = AdmissionController::new(rules, fleet.counting.len());
     for ((pool, customer), count) in &state.held {
         let pool = fleet.pools.get(pool).map(|pool| pool.index);
         let customer = fleet.customers.get(customer);
@@ -132,7 +132,7 @@
     }
 }
 
-fn rules(configuration: &Configuration, fleet: &Fleet) -> Rules {
+fn rules(configuration: &Configuration, fleet: &Fleet) -> AdmissionRules {
     let numbered = configuration.classes.keys().enumerate();
     let class_indices: HashMap<_, _> = numbered.map(|(index, name)| (name, index)).collect();
     let classes = configuration.classes.values().map(|class| ClassRule { share: class.share });
@@ -149,9 +149,9 @@
             reason = "a positive count far below 2^32"
         )]
         let slots = (weight * f64::from(rule.slots)).round() as u32;
-        PoolRule { slots, turn: rule.turn }
+        PoolRule { slots, initial_service_time: rule.turn }
     });
-    Rules { classes: classes.collect(), customers: customers.collect(), pools: pools.collect() }
+    AdmissionRules { classes: classes.collect(), customers: customers.collect(), pools: pools.collect() }
 }
 
 /// Starts a round of dividing free capacity, with what other routers last told.
@@ -166,7 +166,7 @@
     };
     let mut state = node.admission.lock().unwrap();
     let Some(admission) = &mut state.admission else { return };
-    let mut others = FleetUsage::none(admission.rules());
+    let mut others = FleetUsage::empty(admission.rules());
     for summary in &summaries {
         add_usage(&mut others, summary, &fleet);
     }
@@ -178,14 +178,14 @@
         let pool = fleet.names.pools.get(&usage.pool);
         let class = fleet.names.classes.get(&usage.class);
         if let (Some(pool), Some(class)) = (pool, class) {
-            others.add_class(*pool, ClassIndex(*class), spoken(usage.in_progress, usage.refused));
+            others.add_class_usage(*pool, ClassIndex(*class), spoken(usage.in_progress, usage.refused));
         }
     }
     for usage in &summary.customers {
         let pool = fleet.names.pools.get(&usage.pool);
         let customer = fleet.names.customers.get(&usage.customer);
         if let (Some(pool), Some(customer)) = (pool, customer) {
-            others.add_customer(*pool, *customer, spoken(usage.in_progress, usage.refused));
+            others.add_customer_usage(*pool, *customer, spoken(usage.in_progress, usage.refused));
         }
     }
 }
@@ -208,17 +208,17 @@
     let state = node.admission.lock().unwrap();
     let Some(admission) = &state.admission else { return UsageToTell::default() };
     let mut told = UsageToTell::default();
-    for (pool, usage) in configuration.pools.keys().zip(&admission.own().pools) {
+    for (pool, usage) in configuration.pools.keys().zip(&admission.own_usage().pools) {
         let pool = NameHash::of(pool.as_str());
         let classes =
-            configuration.classes.keys().zip(&usage.classes).filter(|(_, usage)| usage.wanted() > 0);
+            configuration.classes.keys().zip(&usage.classes).filter(|(_, usage)| usage.demand() > 0);
         told.classes.extend(classes.map(|(class, usage)| ClassUsage {
             pool,
             class: NameHash::of(class.as_str()),
             in_progress: short(usage.in_progress),
             refused: short(usage.refused),
         }));
-        let customers = usage.customers.iter().filter(|(_, usage)| usage.wanted() > 0);
+        let customers = usage.customers.iter().filter(|(_, usage)| usage.demand() > 0);
         told.customers.extend(customers.filter_map(|(index, usage)| {
             let customer = *fleet.names.customer_hashes.get(index.0)?;
             Some(CustomerUsage {
--- a/crates/bendhinge_router/src/intake/mod.rs
+++ b/crates/bendhinge_router/src/intake/mod.rs
@@ -145,9 +145,9 @@
     node.note_request(call.id, received);
     admission::admit(node, pool, &call.customer, call.customer_index, deadline).map_err(|refusal| {
         let code = match refusal.reason {
-            RefusalReason::CustomerAtLimit => ResultCode::CustomerAtLimit,
-            RefusalReason::OverShare => ResultCode::ClassOverShare,
-            RefusalReason::Deadline => ResultCode::DeadlineCannotBeMet,
+            RefusalReason::CustomerLimitReached => ResultCode::CustomerAtLimit,
+            RefusalReason::ShareExceeded => ResultCode::ClassOverShare,
+            RefusalReason::DeadlineUnreachable => ResultCode::DeadlineCannotBeMet,
         };
         Refused { code, detail: None, retry_after: Some(refusal.retry_after) }
     })
