--- a/crates/bendhinge_gateway/src/intake/mod.rs
+++ b/crates/bendhinge_gateway/src/intake/mod.rs
@@ -7,7 +7,7 @@
 
 use bendhinge_codes::ResultCode;
 use bendhinge_http::{Body, ReadBodyError, full_body, read_body};
-use bendhinge_ids::{Instant, PoolName, RequestDigest, share_of};
+use bendhinge_ids::{Instant, PoolName, RequestDigest, hash_to_fraction};
 use bendhinge_routes::{CallerLimits, Customer, Route};
 use bytes::Bytes;
 use futures_lite::FutureExt;
@@ -178,11 +178,11 @@
 ) -> Result<Option<Arc<Customer>>, Refused> {
     let customers = &current.rules.customers;
     match &call.key {
-        Some(key) if customers.is_in_use() => match customers.holder(key) {
+        Some(key) if customers.requires_key() => match customers.find_by_key(key) {
             Some(customer) => Ok(Some(Arc::clone(customer))),
             None => Err(ResultCode::NoKey.into()),
         },
-        None if customers.is_in_use() && !route.is_open => Err(ResultCode::NoKey.into()),
+        None if customers.requires_key() && !route.allow_anonymous => Err(ResultCode::NoKey.into()),
         _ => Ok(None),
     }
 }
@@ -190,7 +190,7 @@
 /// A point from 0 up to 1 for dividing traffic: the same wherever the same request comes.
 fn split_point(call: &CallFields) -> f64 {
     match &call.id {
-        Some(id) => share_of(xxh3_64(id.as_bytes())),
+        Some(id) => hash_to_fraction(xxh3_64(id.as_bytes())),
         None => rand::rng().random(),
     }
 }
@@ -210,7 +210,7 @@
 
 async fn read(body: Incoming, limits: &CallerLimits, limit: Instant) -> Result<Bytes, Refused> {
     let reading = async {
-        read_body(body, limits.body_bytes).await.map_err(|error| {
+        read_body(body, limits.max_body_bytes).await.map_err(|error| {
             Refused::from(match error {
                 ReadBodyError::TooLong(_) => ResultCode::BodyTooLarge,
                 ReadBodyError::Broken(_) => ResultCode::MalformedRequest,
