--- a/crates/bendhinge_clock/src/lib.rs
+++ b/crates/bendhinge_clock/src/lib.rs
@@ -1,13 +1,12 @@
-//! A process's own clock.
+//! The monotonic clock of the process.
 
 use std::time::Duration;
 
 use bendhinge_ids::Instant;
 use rustix::time::{ClockId, clock_gettime};
 
-/// The time on `CLOCK_BOOTTIME`, which goes on while the process is stopped and while its box
-/// sleeps: what is believed must grow old meanwhile, and a process that slept must see that it
-/// did.
+/// Returns the current time of `CLOCK_BOOTTIME`. Unlike `CLOCK_MONOTONIC`, it advances while the
+/// system is suspended, so cached data expires and the process can detect that it was suspended.
 #[must_use]
 pub fn now() -> Instant {
     let time = clock_gettime(ClockId::Boottime);
--- a/crates/bendhinge_configuration/src/effects.rs
+++ b/crates/bendhinge_configuration/src/effects.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use bendhinge_ids::{ChatKey, DataCentreName, PoolName, UpstreamName};
-use bendhinge_placement::{Ranked, Ranking};
+use bendhinge_placement::{RankedUpstream, Ranking};
 use serde::{Deserialize, Serialize};
 
 use crate::Configuration;
@@ -119,7 +119,7 @@
 }
 
 fn ranking(members: &[PoolMember]) -> Ranking {
-    let ranked = members.iter().map(|member| Ranked {
+    let ranked = members.iter().map(|member| RankedUpstream {
         name: member.name.clone(),
         weight: member.weight,
         tier: 0,
@@ -132,8 +132,8 @@
 fn chats_moved(before: &[PoolMember], after: &[PoolMember]) -> f64 {
     const SAMPLE: u64 = 4_096;
     let (before, after) = (ranking(before), ranking(after));
-    if before.serving() == 0 || after.serving() == 0 {
-        return if before.serving() == after.serving() { 0.0 } else { 1.0 };
+    if before.serving_count() == 0 || after.serving_count() == 0 {
+        return if before.serving_count() == after.serving_count() { 0.0 } else { 1.0 };
     }
     let first = |ranking: &Ranking, chat| ranking.get(ranking.shortlist(chat).as_slice()[0]).name.clone();
     let chats = (0..SAMPLE).map(|number| ChatKey::of("sample", &number.to_le_bytes()));
--- a/crates/bendhinge_gateway/src/knowledge/peers.rs
+++ b/crates/bendhinge_gateway/src/knowledge/peers.rs
@@ -9,7 +9,7 @@
 };
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_peer::{ObservedDoubt, ObservedLoad, ObservedRead, ReadsPage};
-use bendhinge_placement::KeptPart;
+use bendhinge_placement::CachedPart;
 
 use super::upstreams::{State, UpstreamView};
 
@@ -96,14 +96,14 @@
         listener: SocketAddr,
         told: Option<u64>,
         now: Instant,
-    ) -> NewsTold<KeptPart> {
+    ) -> NewsTold<CachedPart> {
         self.state.lock().unwrap().news.since(told, learned_from(listener), now)
     }
 
     /// A part of all that upstreams are believed to have read.
     pub(crate) fn all_reads(&self, page: ReadsPage, now: Instant) -> Vec<ObservedRead> {
         let state = self.state.lock().unwrap();
-        let on_page = state.kept.all().filter(|kept| page.holds(kept.part));
+        let on_page = state.kept.iter_entries().filter(|kept| page.holds(kept.part));
         on_page.map(|kept| observed_read(kept, now)).collect()
     }
 
@@ -112,7 +112,7 @@
         let now = bendhinge_clock::now();
         let mut state = self.state.lock().unwrap();
         for read in reads {
-            state.kept.learn(kept_part(read, now));
+            state.kept.record(kept_part(read, now));
         }
     }
 
@@ -123,7 +123,7 @@
         let mut state = self.state.lock().unwrap();
         for read in reads {
             let kept = kept_part(read, asked);
-            if state.kept.learn(kept) {
+            if state.kept.record(kept) {
                 state.news.push(kept, from, now);
             }
         }
@@ -159,10 +159,10 @@
 }
 
 /// What a read whose age counts from `as_of` says.
-fn kept_part(read: &ObservedRead, as_of: Instant) -> KeptPart {
-    KeptPart { part: read.part, upstream: read.upstream, used: as_of - read.age }
+fn kept_part(read: &ObservedRead, as_of: Instant) -> CachedPart {
+    CachedPart { part: read.part, upstream: read.upstream, last_used: as_of - read.age }
 }
 
-pub(crate) fn observed_read(kept: KeptPart, now: Instant) -> ObservedRead {
-    ObservedRead { part: kept.part, upstream: kept.upstream, age: now.since(kept.used) }
+pub(crate) fn observed_read(kept: CachedPart, now: Instant) -> ObservedRead {
+    ObservedRead { part: kept.part, upstream: kept.upstream, age: now.since(kept.last_used) }
 }
--- a/crates/bendhinge_gateway/src/knowledge/upstreams.rs
+++ b/crates/bendhinge_gateway/src/knowledge/upstreams.rs
@@ -12,7 +12,7 @@
 use bendhinge_ids::{Instant, NameHash, PoolName};
 use bendhinge_peer::Known;
 use bendhinge_placement::{
-    Candidate, ChoiceReason, CostRules, KeptPart, KeptParts, Prompt, Question, WarmingShare, choose,
+    CachedPart, CachedParts, Candidate, ChoiceReason, CostModel, CostQuery, Prompt, WarmupLimit, choose,
 };
 use bendhinge_routes::{PoolRule, Regions};
 use rustc_hash::FxHashMap;
@@ -79,9 +79,9 @@
     rests: Rests,
     pub(super) evidence: Evidence,
     pub(super) loads: Loads,
-    pub(super) kept: KeptParts,
+    pub(super) kept: CachedParts,
     /// What was learned lately of what upstreams keep.
-    pub(super) news: NewsLog<KeptPart>,
+    pub(super) news: NewsLog<CachedPart>,
     /// The lists that were held lately.
     pub(super) history: ListHistory,
     /// Sends to each pool.
@@ -93,7 +93,7 @@
 /// This gateway's view of the upstreams.
 pub(crate) struct UpstreamView {
     pub(super) state: Mutex<State>,
-    costs: CostRules,
+    costs: CostModel,
     regions: RegionMap,
 }
 
@@ -122,13 +122,13 @@
             rests: Rests::default(),
             evidence: Evidence::new(router_hash(own)),
             loads: Loads::default(),
-            kept: KeptParts::new(KEPT_FOR),
+            kept: CachedParts::new(KEPT_FOR),
             news: NewsLog::new(READS_TOLD),
             history: ListHistory::default(),
             demand: FxHashMap::default(),
             gateways: None,
         };
-        let costs = CostRules { bound: settings.load_bound, ..CostRules::default() };
+        let costs = CostModel { load_bound_factor: settings.load_bound, ..CostModel::default() };
         Self { state: Mutex::new(state), costs, regions }
     }
 
@@ -212,32 +212,32 @@
         state.note_demand(question.pool, now);
         let (listed, candidates) = state.candidates(question, &self.regions, now);
         let list_age = state.belief.age(now).unwrap_or_default();
-        let asked = Question {
+        let asked = CostQuery {
             prompt: question.prompt.filter(|_| question.rule.is_some_and(|rule| rule.keeps_prompts)),
             can_fetch: question.rule.is_some_and(|rule| rule.moves_prompts),
             tie_breaker: question.tie_breaker,
         };
         let choice = choose(&self.costs, &asked, &candidates, &state.kept, now)?;
-        let entry = Arc::clone(&listed[choice.chosen].entry);
-        let fetch_from = choice.fetch_from.map(|source| listed[source].entry.address);
+        let entry = Arc::clone(&listed[choice.candidate].entry);
+        let fetch_from = choice.fetch_source.map(|source| listed[source].entry.address);
         let upstream = entry.hash;
         state.loads.began(upstream);
         state.judge.sent(upstream, now);
         if let Some(prompt) = asked.prompt {
-            for read in state.kept.read(upstream, prompt, now) {
+            for read in state.kept.record_prompt(upstream, prompt, now) {
                 state.news.push(read, LearnedFrom::Itself, now);
             }
         }
         drop(state);
         let place = Place { view: Arc::clone(self), upstream, since: now };
-        let load = candidates[choice.chosen].load;
+        let load = candidates[choice.candidate].load;
         Some(Chosen {
             entry,
             fetch_from,
             reason: choice.reason,
             load,
             mean_load: choice.mean_load,
-            missing: choice.missing,
+            missing: choice.missing_tokens,
             list_age,
             at: now,
             _place: place,
@@ -416,8 +416,12 @@
         }
         if let Some(rate) = question.rule.and_then(|rule| rule.warming_rate) {
             let demand = self.demand.get(question.pool).map_or(0.0, |demand| demand.per_second(now));
-            let share = WarmingShare { rate, demand, routers: self.gateways };
-            share.spare(&mut candidates, question.tie_breaker);
+            let share = WarmupLimit {
+                requests_per_second: rate,
+                demand_per_second: demand,
+                router_count: self.gateways,
+            };
+            share.exclude_warming(&mut candidates, question.tie_breaker);
         }
         (listed, candidates)
     }
@@ -453,10 +457,10 @@
         Candidate {
             upstream,
             load,
-            failing,
+            failure_rate: failing,
             takes_work: is_fit && standing != Standing::Resting,
             is_warming: is_fit && listed.is_warming(now),
-            counts: listed.left.is_none_or(|left| now < left)
+            counts_in_mean: listed.left.is_none_or(|left| now < left)
                 && self.rests.end(upstream, now).is_none()
                 && standing != Standing::Resting,
         }
--- a/crates/bendhinge_lab/src/bench/decision.rs
+++ b/crates/bendhinge_lab/src/bench/decision.rs
@@ -11,8 +11,8 @@
 use bendhinge_delivery::{IdentityKey, RequestIdentity};
 use bendhinge_ids::{ChatKey, Incarnation, Instant, NameHash, PoolName, RouterLife};
 use bendhinge_placement::{
-    LedgerLimits, LoadBound, LoadView, PermitLedger, PermitRequest, Ranked, Ranking, Step, ViewKey, Walk,
-    WalkPool,
+    LedgerLimits, LoadBound, LoadKey, LoadView, PermitLedger, PermitRequest, RankedUpstream, Ranking,
+    SearchPool, SearchStep, UpstreamSearch,
 };
 
 const ROUNDS: u32 = 20_000;
@@ -66,7 +66,7 @@
 /// upstreams in one pool.
 #[must_use]
 pub fn place_ns(upstreams: usize) -> f64 {
-    let ranked = (0..upstreams).map(|number| Ranked {
+    let ranked = (0..upstreams).map(|number| RankedUpstream {
         name: format!("engine-{number}").parse().expect("a valid name"),
         weight: 1.0,
         tier: 0,
@@ -76,21 +76,21 @@
     let hashes: Vec<NameHash> =
         ranking.upstreams().iter().map(|ranked| NameHash::of(ranked.name.as_str())).collect();
     let name: PoolName = "pool".parse().expect("a valid name");
-    let pool = WalkPool { name: &name, ranking: &ranking, hashes: &hashes, bound: LoadBound(1.25) };
+    let pool = SearchPool { name: &name, ranking: &ranking, hashes: &hashes, bound: LoadBound(1.25) };
     let mut view = LoadView::default();
     view.set_pool(&name, hashes.iter().copied());
     for hash in &hashes {
-        view.learn(ViewKey { upstream: *hash, pool: &name }, 100, Instant::from_millis(1));
+        view.record_count(LoadKey { upstream: *hash, pool: &name }, 100, Instant::from_millis(1));
     }
-    let limits = LedgerLimits { lease: Duration::from_secs(10), displaced_chats: 1_000 };
+    let limits = LedgerLimits { lease: Duration::from_secs(10), max_displaced_chats: 1_000 };
     let mut ledger = PermitLedger::new(limits);
     let holder = RouterLife { name: "box-1".parse().expect("a valid name"), incarnation: Incarnation(1) };
     let began = Clock::now();
     for round in 0..ROUNDS {
         let now = Instant::from_millis(10_000 + u64::from(round));
         let chat = ChatKey::of("customer", &round.to_le_bytes());
-        let mut walk = Walk::new(pool, chat, Vec::new(), &view, now);
-        let Step::Ask { upstream, limit, .. } = walk.next(&view, |_| true, now) else { continue };
+        let mut walk = UpstreamSearch::new(pool, chat, Vec::new(), &view, now);
+        let SearchStep::Acquire { upstream, limit, .. } = walk.next(&view, |_| true, now) else { continue };
         let upstream = ranking.get(upstream).name.clone();
         let request = PermitRequest { upstream, holder: holder.clone(), first_choice_of: Some(chat), limit };
         if let Ok(granted) = black_box(ledger.acquire(&request, now)) {
--- a/crates/bendhinge_lab/src/bench/policy.rs
+++ b/crates/bendhinge_lab/src/bench/policy.rs
@@ -7,8 +7,9 @@
     BoxName, ChatKey, Incarnation, Instant, NameHash, PermitId, PoolName, RouterLife, UpstreamName,
 };
 use bendhinge_placement::{
-    Answer, AskBudget, Denied, LedgerLimits, LoadBound, LoadReport, LoadView, PermitLedger, PermitRequest,
-    PoolLoad, Ranked, Ranking, Step, UpstreamIndex, ViewKey, Walk, WalkPool, owner_of,
+    LedgerLimits, LoadBound, LoadKey, LoadReport, LoadView, PermitDenied, PermitLedger, PermitRequest,
+    PermitRequestBudget, PermitResponse, PoolLoad, RankedUpstream, Ranking, SearchPool, SearchStep,
+    UpstreamIndex, UpstreamSearch, owner_of,
 };
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -98,7 +99,7 @@
 
 impl Pool {
     fn new(engines: u32, is_up: impl Fn(u32) -> bool) -> Self {
-        let ranked = (0..engines).map(|engine| Ranked {
+        let ranked = (0..engines).map(|engine| RankedUpstream {
             name: engine_name(engine),
             weight: 1.0,
             tier: 0,
@@ -106,7 +107,8 @@
         });
         let ranking = Ranking::new(ranked.collect());
         let hashes = ranking.upstreams().iter().map(|ranked| NameHash::of(ranked.name.as_str())).collect();
-        let number = |ranked: &Ranked| ranked.name.as_str()["engine-".len()..].parse().expect("made above");
+        let number =
+            |ranked: &RankedUpstream| ranked.name.as_str()["engine-".len()..].parse().expect("made above");
         let engines = ranking.upstreams().iter().map(number).collect();
         Self { ranking, hashes, engines }
     }
@@ -135,7 +137,7 @@
 struct RouterState {
     life: RouterLife,
     view: LoadView,
-    asks: AskBudget,
+    asks: PermitRequestBudget,
     ledger: PermitLedger,
 }
 
@@ -157,7 +159,7 @@
 
 impl Policy {
     pub(super) fn new(kind: PolicyKind, scenario: Scenario) -> Self {
-        let limits = LedgerLimits { lease: Duration::from_secs(10), displaced_chats: 20_000 };
+        let limits = LedgerLimits { lease: Duration::from_secs(10), max_displaced_chats: 20_000 };
         let names: Vec<BoxName> = (0..scenario.routers)
             .map(|number| format!("box-{number}").parse().expect("a valid name"))
             .collect();
@@ -170,7 +172,7 @@
         let router = |name: &BoxName| RouterState {
             life: RouterLife { name: name.clone(), incarnation: Incarnation(1) },
             view: LoadView::default(),
-            asks: AskBudget::default(),
+            asks: PermitRequestBudget::default(),
             ledger: PermitLedger::new(limits),
         };
         let own_rows = if kind == PolicyKind::OwnSliver { scenario.routers } else { 0 };
@@ -222,12 +224,12 @@
     fn tell_counts(&mut self, loads: &[u32], at: Instant) {
         for (engine, load) in (0..).zip(loads) {
             let report = LoadReport { in_progress: *load, measured_at: at };
-            self.routers[self.owners[engine as usize]].ledger.report(&engine_name(engine), report);
+            self.routers[self.owners[engine as usize]].ledger.apply_report(&engine_name(engine), report);
         }
         for router in &mut self.routers {
             for (hash, engine) in self.pool.hashes.iter().zip(&self.pool.engines) {
-                let key = ViewKey { upstream: *hash, pool: &self.pool_name };
-                router.view.learn(key, loads[*engine as usize], at);
+                let key = LoadKey { upstream: *hash, pool: &self.pool_name };
+                router.view.record_count(key, loads[*engine as usize], at);
             }
         }
     }
@@ -244,7 +246,7 @@
             PolicyKind::Bendhinge => return self.walk(asked),
             PolicyKind::Oracle => self.oracle(asked, truth)?,
             PolicyKind::Random => {
-                self.pool.serving().nth(random.random_range(0..self.pool.ranking.serving()))?
+                self.pool.serving().nth(random.random_range(0..self.pool.ranking.serving_count()))?
             }
             PolicyKind::LeastLoaded => {
                 let untried = self.pool.serving().filter(|engine| !asked.tried.contains(engine));
@@ -267,7 +269,8 @@
 
     fn oracle(&self, asked: Asked<'_>, truth: &Truth) -> Option<u32> {
         let in_progress = truth.total();
-        let limit = self.bound().limit(PoolLoad { in_progress }, 1.0 / self.pool.ranking.serving() as f64);
+        let limit =
+            self.bound().limit(PoolLoad { in_progress }, 1.0 / self.pool.ranking.serving_count() as f64);
         let fits = |engine: &u32| truth.is_up(*engine) && truth.loads()[*engine as usize] < limit;
         let with_context = truth.context_of(asked.chat).into_iter().find(|engine| fits(engine));
         let by_rank = || self.pool.shortlist(asked.chat).into_iter().find(|engine| fits(engine));
@@ -278,7 +281,8 @@
     fn own_sliver(&self, asked: Asked<'_>) -> Option<u32> {
         let own = &self.own[asked.router];
         let in_progress = own.iter().sum();
-        let limit = self.bound().limit(PoolLoad { in_progress }, 1.0 / self.pool.ranking.serving() as f64);
+        let limit =
+            self.bound().limit(PoolLoad { in_progress }, 1.0 / self.pool.ranking.serving_count() as f64);
         let shortlist = self.pool.shortlist(asked.chat);
         let untried = || shortlist.iter().filter(|engine| !asked.tried.contains(engine));
         let fitting = untried().find(|engine| own[**engine as usize] < limit);
@@ -288,7 +292,7 @@
     fn walk(&mut self, asked: Asked<'_>) -> Option<PlacedTurn> {
         let pool_name = self.pool_name.clone();
         let Self { pool, routers, owners, messages, scenario, .. } = self;
-        let walk_pool = WalkPool {
+        let walk_pool = SearchPool {
             name: &pool_name,
             ranking: &pool.ranking,
             hashes: &pool.hashes,
@@ -301,17 +305,18 @@
             pool.ranking.serving_indices().filter(is_tried).collect()
         };
         let counts_itself = |index| owners[pool.engine(index) as usize] == asked.router;
-        let frugal = !routers[asked.router].asks.take(asked.now);
+        let frugal = !routers[asked.router].asks.try_acquire(asked.now);
         let view = &routers[asked.router].view;
-        let mut walk = Walk::new(walk_pool, key(asked.chat), tried, view, asked.now).frugal(frugal);
+        let mut walk = UpstreamSearch::new(walk_pool, key(asked.chat), tried, view, asked.now)
+            .skip_optional_permit(frugal);
         if walk.is_empty() {
             return None;
         }
         let (upstream, held) = loop {
             match walk.next(&routers[asked.router].view, counts_itself, asked.now) {
-                Step::Exhausted => return None,
-                Step::Take(upstream) => break (upstream, Held { permit: None }),
-                Step::Ask { upstream, first_choice, limit } => {
+                SearchStep::Exhausted => return None,
+                SearchStep::Send(upstream) => break (upstream, Held { permit: None }),
+                SearchStep::Acquire { upstream, first_choice, limit } => {
                     let owner = owners[pool.engine(upstream) as usize];
                     messages.asked += u64::from(owner != asked.router);
                     let request = PermitRequest {
@@ -324,26 +329,29 @@
                     let view = &mut routers[asked.router].view;
                     match answer {
                         Ok(granted) => {
-                            view.learn(walk_pool.key(upstream), granted.in_progress - 1, asked.now);
+                            view.record_count(walk_pool.key(upstream), granted.in_progress - 1, asked.now);
                             break (upstream, Held { permit: Some((owner, granted.permit)) });
                         }
-                        Err(Denied::AtBound { in_progress }) => {
-                            view.learn(walk_pool.key(upstream), in_progress, asked.now);
-                            walk.answered(Answer::AtBound, view);
+                        Err(PermitDenied::AtBound { in_progress }) => {
+                            view.record_count(walk_pool.key(upstream), in_progress, asked.now);
+                            walk.handle_response(PermitResponse::AtBound, view);
                         }
-                        Err(Denied::Elsewhere(place)) => {
-                            walk.answered(Answer::Elsewhere(pool.ranking.find(&place)), view);
+                        Err(PermitDenied::Redirect(place)) => {
+                            walk.handle_response(
+                                PermitResponse::Redirect(pool.ranking.find_serving(&place)),
+                                view,
+                            );
                         }
                     }
                 }
             }
         };
-        routers[asked.router].view.sent(walk_pool.key(upstream), asked.now);
-        for remembering in walk.remembering(upstream) {
+        routers[asked.router].view.request_started(walk_pool.key(upstream), asked.now);
+        for remembering in walk.displacement_recorders(upstream) {
             let owner = owners[pool.engine(remembering) as usize];
             messages.displaced += u64::from(owner != asked.router);
             let place = pool.ranking.get(upstream).name.clone();
-            routers[owner].ledger.note_displaced(key(asked.chat), place);
+            routers[owner].ledger.record_displaced(key(asked.chat), place);
         }
         Some(PlacedTurn { engine: pool.engine(upstream), held })
     }
@@ -361,8 +369,8 @@
         }
         if self.kind == PolicyKind::Bendhinge {
             let name = engine_name(engine);
-            let key = ViewKey { upstream: NameHash::of(name.as_str()), pool: &self.pool_name };
-            self.routers[router].view.ended(key, now);
+            let key = LoadKey { upstream: NameHash::of(name.as_str()), pool: &self.pool_name };
+            self.routers[router].view.request_ended(key, now);
         }
         if let Some((owner, permit)) = held.permit {
             self.messages.returned += u64::from(owner != router);
--- a/crates/bendhinge_lab/src/bench/resting.rs
+++ b/crates/bendhinge_lab/src/bench/resting.rs
@@ -12,7 +12,7 @@
 use bendhinge_admission::{FleetRetryBudget, RetryShare};
 use bendhinge_fleet::{Judge, JudgeLimits, LearnedFrom, LoadSaid, Loads, Rests, Standing, UpstreamFailure};
 use bendhinge_ids::{Instant, NameHash};
-use bendhinge_placement::{Candidate, CostRules, KeptParts, PartId, Prompt, PromptPart, Question, choose};
+use bendhinge_placement::{CachedParts, Candidate, CostModel, CostQuery, PartId, Prompt, PromptPart, choose};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
@@ -122,7 +122,7 @@
     /// Rests that others were asked for.
     told: Rests,
     loads: Loads,
-    kept: KeptParts,
+    kept: CachedParts,
     share: RetryShare,
 }
 
@@ -157,7 +157,7 @@
         rests: Rests::default(),
         told: Rests::default(),
         loads: Loads::default(),
-        kept: KeptParts::new(Duration::from_mins(1)),
+        kept: CachedParts::new(Duration::from_mins(1)),
         share: BUDGET.share(BUDGET.reserve(scene.routers), 0),
     };
     let mut fleet = Fleet {
@@ -259,10 +259,10 @@
         Candidate {
             upstream: hash,
             load: router.loads.estimate(hash, mean, now),
-            failing,
+            failure_rate: failing,
             takes_work,
             is_warming: false,
-            counts: takes_work,
+            counts_in_mean: takes_work,
         }
     }
 
@@ -290,17 +290,17 @@
             PromptPart { id: PartId(self.next << 20), tokens: 100 },
         ]);
         let tie_breaker = self.random.random();
-        let question = Question { prompt: Some(&prompt), can_fetch: true, tie_breaker };
+        let question = CostQuery { prompt: Some(&prompt), can_fetch: true, tie_breaker };
         let chooser = &self.routers[router];
         let candidates = self.candidates(chooser, &tried);
-        let choice = choose(&CostRules::default(), &question, &candidates, &chooser.kept, self.now);
+        let choice = choose(&CostModel::default(), &question, &candidates, &chooser.kept, self.now);
         let Some(choice) = choice.filter(|_| tried.len() < MOST_SENDS) else { return self.refuse() };
-        let (now, upstream) = (self.now, choice.chosen);
+        let (now, upstream) = (self.now, choice.candidate);
         let chosen = hash(upstream);
         let sender = &mut self.routers[router];
         sender.loads.began(chosen);
         sender.judge.sent(chosen, now);
-        sender.kept.read(chosen, &prompt, now);
+        sender.kept.record_prompt(chosen, &prompt, now);
         let hop = self.draw(HOP_MICROS);
         let mut tried = tried;
         tried.push(chosen);
--- a/crates/bendhinge_lab/src/bench/warming.rs
+++ b/crates/bendhinge_lab/src/bench/warming.rs
@@ -8,7 +8,7 @@
 
 use bendhinge_admission::Demand;
 use bendhinge_ids::{Instant, NameHash};
-use bendhinge_placement::{Candidate, WarmingShare};
+use bendhinge_placement::{Candidate, WarmupLimit};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxBuildHasher;
@@ -39,7 +39,7 @@
     NamedRouters(usize),
     /// Each router has an equal share of each one's rate.
     EqualShares,
-    /// A request draws one ([`WarmingShare`]).
+    /// A request draws one ([`WarmupLimit`]).
     Drawn,
 }
 
@@ -133,9 +133,10 @@
         Way::EqualShares => (0..warming).find_map(|upstream| paced(upstream, known.unwrap_or(1))),
         Way::Drawn => {
             let demand = router.demand.per_second(now);
-            let share = WarmingShare { rate: RATE, demand, routers: known };
+            let share =
+                WarmupLimit { requests_per_second: RATE, demand_per_second: demand, router_count: known };
             let mut candidates = candidates(warming);
-            share.spare(&mut candidates, random.random());
+            share.exclude_warming(&mut candidates, random.random());
             candidates.iter().position(|candidate| candidate.takes_work && candidate.is_warming)
         }
     }
@@ -152,10 +153,10 @@
     let candidate = |number| Candidate {
         upstream: NameHash(number as u64),
         load: 0.0,
-        failing: 0.0,
+        failure_rate: 0.0,
         takes_work: true,
         is_warming: number < warming,
-        counts: true,
+        counts_in_mean: true,
     };
     (0..UPSTREAMS).map(candidate).collect()
 }
--- a/crates/bendhinge_lab/tests/warming.rs
+++ b/crates/bendhinge_lab/tests/warming.rs
@@ -3,7 +3,7 @@
 //! An upstream bears 9.6 requests a second while it warms up, and a second with more than 19.4 is too many.
 
 use bendhinge_lab::bench::warming::{ROUTERS, Seen, UPSTREAMS, Way, candidates, run};
-use bendhinge_placement::WarmingShare;
+use bendhinge_placement::WarmupLimit;
 
 const WARMING: usize = 30;
 const TOO_MANY: usize = 20;
@@ -51,13 +51,13 @@
 
 #[test]
 fn a_request_draws_one_upstream_at_most_and_no_other_when_that_was_tried() {
-    let share = WarmingShare { rate: 1_000.0, demand: 1.0, routers: Some(2) };
+    let share = WarmupLimit { requests_per_second: 1_000.0, demand_per_second: 1.0, router_count: Some(2) };
     let open = |number: u64, tried: Option<usize>| -> Vec<usize> {
         let mut candidates = candidates(WARMING);
         if let Some(tried) = tried {
             candidates[tried].takes_work = false;
         }
-        share.spare(&mut candidates, number);
+        share.exclude_warming(&mut candidates, number);
         let open = (0..WARMING).filter(|at| candidates[*at].takes_work);
         open.collect()
     };
@@ -74,8 +74,8 @@
 
 #[test]
 fn where_nothing_warms_up_nothing_changes() {
-    let share = WarmingShare { rate: 9.6, demand: 100.0, routers: None };
+    let share = WarmupLimit { requests_per_second: 9.6, demand_per_second: 100.0, router_count: None };
     let mut candidates = candidates(0);
-    share.spare(&mut candidates, 7);
+    share.exclude_warming(&mut candidates, 7);
     assert!(candidates.iter().all(|candidate| candidate.takes_work));
 }
--- a/crates/bendhinge_peer/src/client.rs
+++ b/crates/bendhinge_peer/src/client.rs
@@ -9,7 +9,7 @@
 use bendhinge_delivery::{Claimant, OnceKey, OnceOutcome};
 use bendhinge_ids::{ChatKey, Digest, EventSequence, PermitId, UpstreamName};
 use bendhinge_membership::Summary;
-use bendhinge_placement::{Granted, PermitRequest};
+use bendhinge_placement::{PermitGrant, PermitRequest};
 use futures_lite::FutureExt;
 use smol::{LocalExecutor, Timer};
 
@@ -184,7 +184,7 @@
     Ok(match answer.which().map_err(|_| CallError::Form)? {
         permit_answer::Granted(permit) => {
             let in_progress = answer.get_in_progress();
-            PermitAnswer::Granted(Granted { permit: PermitId(permit), in_progress })
+            PermitAnswer::Granted(PermitGrant { permit: PermitId(permit), in_progress })
         }
         permit_answer::AtBound(()) => PermitAnswer::AtBound { in_progress: answer.get_in_progress() },
         permit_answer::Elsewhere(upstream) => {
--- a/crates/bendhinge_peer/src/duties.rs
+++ b/crates/bendhinge_peer/src/duties.rs
@@ -3,7 +3,7 @@
 use bendhinge_delivery::{Claim, Claimant, OnceKey, OnceOutcome};
 use bendhinge_ids::{ChatKey, Digest, EventSequence, PermitId, RequestId, RouterLife, UpstreamName};
 use bendhinge_membership::Summary;
-use bendhinge_placement::{Granted, PermitRequest};
+use bendhinge_placement::{PermitGrant, PermitRequest};
 
 /// A message with the event that its sender recorded for it, which ties the time lines of the
 /// two processes.
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PermitAnswer {
     /// The request may be sent; the permit must be returned.
-    Granted(Granted),
+    Granted(PermitGrant),
     /// The upstream carries as much as it may.
     AtBound {
         /// Its count.
--- a/crates/bendhinge_placement/src/cost.rs
+++ b/crates/bendhinge_placement/src/cost.rs
@@ -1,256 +1,272 @@
-//! The upstream of least cost: what it would have to read, what is ahead there, and how often it
-//! fails, with a limit on its load.
+//! Selection of the upstream with the lowest estimated cost, from cached prompt parts, load and
+//! failure rate, subject to a load limit.
 
 use bendhinge_ids::{Instant, NameHash};
 
-use crate::draw::{draw, draw_share};
+use crate::hash::{hash_pair, hash_pair_unit};
 use crate::homes::home;
-use crate::{KeptParts, Prompt};
+use crate::{CachedParts, Prompt};
 
-/// An upstream that may be chosen.
+/// An upstream considered for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Which one.
+    /// Hash of the upstream's name.
     pub upstream: NameHash,
-    /// Requests believed to be there.
+    /// Estimated number of requests in progress.
     pub load: f32,
-    /// The recent share of its requests that failed, from 0 to 1.
-    pub failing: f32,
-    /// Whether it takes new work; one that does not may still be a source.
+    /// Recent fraction of failed requests, from 0 to 1.
+    pub failure_rate: f32,
+    /// Whether it accepts new requests. An upstream that does not can still be a fetch source.
     pub takes_work: bool,
-    /// Whether it is warming up.
+    /// Whether it is warming up after its start.
     pub is_warming: bool,
-    /// Whether its load counts in the pool's mean: so it does if it is well, also where it is spared.
-    pub counts: bool,
+    /// Whether its load counts in the pool's mean load. True for every healthy upstream,
+    /// including those that are drained.
+    pub counts_in_mean: bool,
 }
 
-/// What things cost, in tokens to read.
+/// Weights of the cost estimate. Costs are measured in prompt tokens to process.
 #[derive(Clone, Copy, Debug)]
-pub struct CostRules {
-    /// A request that is ahead.
-    pub per_request: f32,
-    /// Among upstreams that keep nothing, differences in load of this many times the mean load, and
-    /// one request, do not decide alone: what is known of loads is old, and known to many.
-    pub jitter: f32,
-    /// A failure that is certain.
-    pub per_failure: f32,
-    /// The part of the reading that is left at the subject's home, where other routers send it
-    /// too, when this router has not sent it there itself.
-    pub unread_at_home: f32,
-    /// The part of the reading that fetching costs instead.
-    pub fetched: f32,
-    /// The same at the subject's home, which is worth having it: routers that know nothing of what
-    /// is kept, since they have just started or are cut off, send it there.
-    pub fetched_home: f32,
-    /// The part of the reading that it costs to leave a subject where it is kept away from home.
-    pub away: f32,
-    /// Fetching fewer tokens than this is not worth it.
-    pub least_fetched: u32,
-    /// The load that an upstream may have as a multiple of the mean.
-    pub bound: f32,
-    /// Requests that it may have above that.
-    pub bound_slack: f32,
+pub struct CostModel {
+    /// Cost of one request that is already in progress on the upstream.
+    pub tokens_per_request: f32,
+    /// Jitter among interchangeable upstreams, as a multiple of the mean load, plus one
+    /// request. It keeps routers that share the same stale load data from choosing the same
+    /// upstream.
+    pub jitter_factor: f32,
+    /// Cost at a failure rate of 1.
+    pub tokens_per_failure: f32,
+    /// Cost of a missing token on the home upstream, relative to processing it elsewhere. Less
+    /// than 1, since another router may already have sent the same parts there.
+    pub home_read_factor: f32,
+    /// Cost of fetching a token from another upstream, relative to processing it.
+    pub fetch_factor: f32,
+    /// Cost of fetching a token to the home upstream, relative to processing it. Low, so that
+    /// prompts move to their home, where routers without cache data send them.
+    pub home_fetch_factor: f32,
+    /// Cost per shared token of using an upstream other than the home.
+    pub remote_factor: f32,
+    /// Minimum number of tokens for which a fetch is worthwhile.
+    pub min_fetch_tokens: u32,
+    /// Maximum load of an upstream as a multiple of the mean load.
+    pub load_bound_factor: f32,
+    /// Number of requests allowed in addition to that multiple.
+    pub load_bound_slack: f32,
 }
 
-impl Default for CostRules {
+impl Default for CostModel {
     fn default() -> Self {
         Self {
-            per_request: 60.0,
-            jitter: 2.0,
-            per_failure: 4_000.0,
-            unread_at_home: 0.3,
-            fetched: 0.3,
-            fetched_home: 0.02,
-            away: 0.05,
-            least_fetched: 400,
-            bound: 1.5,
-            bound_slack: 2.0,
+            tokens_per_request: 60.0,
+            jitter_factor: 2.0,
+            tokens_per_failure: 4_000.0,
+            home_read_factor: 0.3,
+            fetch_factor: 0.3,
+            home_fetch_factor: 0.02,
+            remote_factor: 0.05,
+            min_fetch_tokens: 400,
+            load_bound_factor: 1.5,
+            load_bound_slack: 2.0,
         }
     }
 }
 
-/// Why an upstream was chosen.
+/// The reason for choosing an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChoiceReason {
-    /// It is the home of the request's subject.
+    /// It is the home of the prompt's affinity key.
     Home,
-    /// It is believed to keep the prompt's parts.
-    Kept,
-    /// It costs least although it keeps nothing.
+    /// It probably has all shared parts of the prompt in its cache.
+    Cached,
+    /// It has the lowest cost, but is not the home and lacks shared parts.
     LeastCost,
 }
 
 impl ChoiceReason {
-    /// The word for logs and counters.
+    /// Returns the label used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Home => "home",
-            Self::Kept => "kept",
+            Self::Cached => "kept",
             Self::LeastCost => "least_cost",
         }
     }
 }
 
-/// A choice.
+/// The result of [`choose`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The position of the chosen candidate.
-    pub chosen: usize,
-    /// The position of one from which it should fetch what it lacks.
-    pub fetch_from: Option<usize>,
-    /// Why it was chosen.
+    /// Index of the chosen candidate.
+    pub candidate: usize,
+    /// Index of the candidate from which missing parts should be fetched.
+    pub fetch_source: Option<usize>,
+    /// The reason for the choice.
     pub reason: ChoiceReason,
-    /// What it costs, in tokens.
+    /// Estimated cost, in tokens.
     pub cost: f32,
-    /// Tokens of the shared parts that it is believed to lack.
-    pub missing: u32,
-    /// The mean load of the pool, as it is believed.
+    /// Estimated number of shared tokens that the chosen upstream lacks.
+    pub missing_tokens: u32,
+    /// Estimated mean load of the pool.
     pub mean_load: f32,
 }
 
-/// A choice to be made.
+/// The properties of a request that determine its cost on each candidate.
 #[derive(Clone, Copy, Debug)]
-pub struct Question<'a> {
-    /// The prompt, if upstreams of the pool keep what they read.
+pub struct CostQuery<'a> {
+    /// The prompt, if the upstreams of the pool cache prompts.
     pub prompt: Option<&'a Prompt>,
-    /// Whether an upstream can fetch from another.
+    /// Whether upstreams can fetch cached parts from each other.
     pub can_fetch: bool,
-    /// A number that is another for each request, for breaking ties.
+    /// A random number per request that breaks ties.
     pub tie_breaker: u64,
 }
 
-/// The candidate of least cost; `None` if none takes work.
+/// Returns the candidate with the lowest cost, or `None` if no candidate accepts requests.
 #[must_use]
 pub fn choose(
-    rules: &CostRules,
-    question: &Question<'_>,
+    model: &CostModel,
+    query: &CostQuery<'_>,
     candidates: &[Candidate],
-    kept: &KeptParts,
+    cached_parts: &CachedParts,
     now: Instant,
 ) -> Option<Choice> {
     let mean_load = mean_load(candidates);
-    // An upstream gets no more from this load on while others are below it.
-    let limit = rules.bound * mean_load + rules.bound_slack;
-    let home = question.prompt.and_then(|prompt| home(prompt, candidates, limit));
-    let kept: Vec<u32> = kept_by_each(question, candidates, kept, now);
-    let most_kept = kept.iter().copied().max().unwrap_or_default();
-    let chooser = Chooser { rules, question, candidates, kept, most_kept, home, mean_load };
-    let working = || (0..candidates.len()).filter(|index| candidates[*index].takes_work);
-    let within = working().filter(|index| candidates[*index].load < limit);
-    let best = |among: &mut dyn Iterator<Item = usize>| {
-        among.map(|index| chooser.weigh(index)).min_by(|left, right| {
+    // Candidates at or above the limit are chosen only if no candidate is below it.
+    let limit = model.load_bound_factor * mean_load + model.load_bound_slack;
+    let home = query.prompt.and_then(|prompt| home(prompt, candidates, limit));
+    let cached_tokens: Vec<u32> = cached_tokens_by_candidate(query, candidates, cached_parts, now);
+    let max_cached_tokens = cached_tokens.iter().copied().max().unwrap_or_default();
+    let evaluator =
+        CostEvaluator { model, query, candidates, cached_tokens, max_cached_tokens, home, mean_load };
+    let accepting = || (0..candidates.len()).filter(|index| candidates[*index].takes_work);
+    let within_limit = accepting().filter(|index| candidates[*index].load < limit);
+    let best = |indices: &mut dyn Iterator<Item = usize>| {
+        indices.map(|index| evaluator.evaluate(index)).min_by(|left, right| {
             left.cost
                 .total_cmp(&right.cost)
-                .then_with(|| chooser.tie(left.chosen).cmp(&chooser.tie(right.chosen)))
+                .then_with(|| evaluator.tie_hash(left.candidate).cmp(&evaluator.tie_hash(right.candidate)))
         })
     };
-    let choice = best(&mut { within }).or_else(|| best(&mut working()))?;
-    Some(Choice { fetch_from: chooser.source_for(choice.chosen), ..choice })
+    let choice = best(&mut { within_limit }).or_else(|| best(&mut accepting()))?;
+    Some(Choice { fetch_source: evaluator.fetch_source_for(choice.candidate), ..choice })
 }
 
-/// The mean load of the pool. Were those left out that are spared, which have little, the others would be given
-/// more above the mean while a part of the pool is drained.
+/// Returns the mean load of the pool. Drained upstreams are included, so that draining part of a
+/// pool does not raise the limit of the others.
 fn mean_load(candidates: &[Candidate]) -> f32 {
-    let counted = candidates.iter().filter(|candidate| candidate.counts);
-    let (count, total) =
-        counted.fold((0.0_f32, 0.0_f32), |(count, total), candidate| (count + 1.0, total + candidate.load));
+    let counted_candidates = candidates.iter().filter(|candidate| candidate.counts_in_mean);
+    let (count, total) = counted_candidates
+        .fold((0.0_f32, 0.0_f32), |(count, total), candidate| (count + 1.0, total + candidate.load));
     total / count.max(1.0)
 }
 
-/// What each candidate is believed to keep of the prompt.
-fn kept_by_each(
-    question: &Question<'_>,
+/// Returns the estimated number of cached prompt tokens for each candidate.
+fn cached_tokens_by_candidate(
+    query: &CostQuery<'_>,
     candidates: &[Candidate],
-    kept: &KeptParts,
+    cached_parts: &CachedParts,
     now: Instant,
 ) -> Vec<u32> {
-    let Some(prompt) = question.prompt else { return Vec::new() };
-    let keepers = kept.keepers_of(prompt, now);
-    let tokens = |candidate: &Candidate| keepers.get(&candidate.upstream).copied().unwrap_or_default();
+    let Some(prompt) = query.prompt else { return Vec::new() };
+    let cached_tokens = cached_parts.cached_tokens_by_upstream(prompt, now);
+    let tokens = |candidate: &Candidate| cached_tokens.get(&candidate.upstream).copied().unwrap_or_default();
     candidates.iter().map(tokens).collect()
 }
 
-struct Chooser<'a> {
-    rules: &'a CostRules,
-    question: &'a Question<'a>,
+struct CostEvaluator<'a> {
+    model: &'a CostModel,
+    query: &'a CostQuery<'a>,
     candidates: &'a [Candidate],
-    /// What each candidate is believed to keep of the prompt, in tokens.
-    kept: Vec<u32>,
-    /// What those keep that keep most: from one of them the others can fetch it.
-    most_kept: u32,
+    /// Estimated number of cached prompt tokens for each candidate.
+    cached_tokens: Vec<u32>,
+    /// The maximum of `cached_tokens`. Candidates that have this many can serve as fetch
+    /// sources.
+    max_cached_tokens: u32,
     home: Option<usize>,
     mean_load: f32,
 }
 
-impl Chooser<'_> {
-    fn weigh(&self, index: usize) -> Choice {
+impl CostEvaluator<'_> {
+    fn evaluate(&self, index: usize) -> Choice {
         let candidate = &self.candidates[index];
-        let ahead = candidate.load * self.rules.per_request + candidate.failing * self.rules.per_failure;
-        let Some(prompt) = self.question.prompt else {
-            let cost = ahead + self.jitter(index, self.rules.jitter);
+        let load_cost = candidate.load * self.model.tokens_per_request
+            + candidate.failure_rate * self.model.tokens_per_failure;
+        let Some(prompt) = self.query.prompt else {
+            let cost = load_cost + self.jitter(index, self.model.jitter_factor);
             return Choice {
-                chosen: index,
-                fetch_from: None,
+                candidate: index,
+                fetch_source: None,
                 reason: ChoiceReason::LeastCost,
                 cost,
-                missing: 0,
+                missing_tokens: 0,
                 mean_load: self.mean_load,
             };
         };
-        let own = self.kept[index];
-        let missing = prompt.shared_tokens() - own;
+        let own_cached_tokens = self.cached_tokens[index];
+        let missing_tokens = prompt.shared_tokens() - own_cached_tokens;
         let is_home = self.home == Some(index);
-        let fetched = self.fetched(prompt, own);
-        let away = prompt.shared_tokens() as f32 * self.rules.away;
-        let (read, fetched) = ((missing - fetched) as f32, fetched as f32);
-        let reading = if is_home {
-            fetched * self.rules.fetched_home + read * self.rules.unread_at_home
+        let fetched_tokens = self.fetched_tokens(prompt, own_cached_tokens);
+        let remote_cost = prompt.shared_tokens() as f32 * self.model.remote_factor;
+        let (read, fetched) = ((missing_tokens - fetched_tokens) as f32, fetched_tokens as f32);
+        let prompt_cost = if is_home {
+            fetched * self.model.home_fetch_factor + read * self.model.home_read_factor
         } else {
-            fetched * self.rules.fetched + read + away
+            fetched * self.model.fetch_factor + read + remote_cost
         };
-        let reason = match (is_home, missing) {
+        let reason = match (is_home, missing_tokens) {
             (true, _) => ChoiceReason::Home,
-            (false, 0) => ChoiceReason::Kept,
+            (false, 0) => ChoiceReason::Cached,
             (false, _) => ChoiceReason::LeastCost,
         };
-        // Upstreams that have to read or fetch are many and alike; the home and keepers are few.
-        let is_one_of_many = missing > 0 && !is_home;
-        let spread = if is_one_of_many { self.rules.jitter * self.mean_load + 1.0 } else { 1.0 };
-        let cost = ahead + reading + self.jitter(index, spread);
-        Choice { chosen: index, fetch_from: None, reason, cost, missing, mean_load: self.mean_load }
+        // Candidates that must process or fetch parts are numerous and similar, so they get
+        // more jitter than the home and the candidates that have the prompt cached.
+        let is_interchangeable = missing_tokens > 0 && !is_home;
+        let spread = if is_interchangeable { self.model.jitter_factor * self.mean_load + 1.0 } else { 1.0 };
+        let cost = load_cost + prompt_cost + self.jitter(index, spread);
+        Choice {
+            candidate: index,
+            fetch_source: None,
+            reason,
+            cost,
+            missing_tokens,
+            mean_load: self.mean_load,
+        }
     }
 
-    /// How many tokens a candidate that keeps `own` would fetch from one of those that keep most.
-    fn fetched(&self, prompt: &Prompt, own: u32) -> u32 {
-        if !self.question.can_fetch || prompt.shared_tokens() - own < self.rules.least_fetched {
+    /// Returns the number of tokens that a candidate with `own_cached_tokens` would fetch from
+    /// one with the most cached tokens; 0 if a fetch is not worthwhile.
+    fn fetched_tokens(&self, prompt: &Prompt, own_cached_tokens: u32) -> u32 {
+        if !self.query.can_fetch || prompt.shared_tokens() - own_cached_tokens < self.model.min_fetch_tokens {
             return 0;
         }
-        let more = self.most_kept.saturating_sub(own);
-        if more < self.rules.least_fetched { 0 } else { more }
+        let additional_tokens = self.max_cached_tokens.saturating_sub(own_cached_tokens);
+        if additional_tokens < self.model.min_fetch_tokens { 0 } else { additional_tokens }
     }
 
-    /// From where a candidate should fetch, if it should. An upstream sends one prompt after the other: the head of a
-    /// thousand subjects is kept by hundreds, and if all fetched it from the same one, they would wait there for
-    /// seconds.
-    fn source_for(&self, index: usize) -> Option<usize> {
-        if self.fetched(self.question.prompt?, self.kept[index]) == 0 {
+    /// Returns the candidate from which the candidate at `index` should fetch missing parts, if
+    /// any.
+    ///
+    /// The source is picked pseudo-randomly among all candidates with the most cached tokens:
+    /// each source serves its fetches one at a time, so a fixed choice would queue them.
+    fn fetch_source_for(&self, index: usize) -> Option<usize> {
+        if self.fetched_tokens(self.query.prompt?, self.cached_tokens[index]) == 0 {
             return None;
         }
-        let keeps_most = |index: &usize| self.kept[*index] == self.most_kept;
-        let sources: Vec<usize> = (0..self.kept.len()).filter(keeps_most).collect();
-        let draw = self.tie(index) % sources.len().max(1) as u64;
-        sources.get(usize::try_from(draw).unwrap_or_default()).copied()
+        let has_max_cached_tokens = |index: &usize| self.cached_tokens[*index] == self.max_cached_tokens;
+        let sources: Vec<usize> = (0..self.cached_tokens.len()).filter(has_max_cached_tokens).collect();
+        let choice = self.tie_hash(index) % sources.len().max(1) as u64;
+        sources.get(usize::try_from(choice).unwrap_or_default()).copied()
     }
 
-    /// A part of a request's cost, up to that of `spread` requests ahead, that differs by request
-    /// and upstream, so that routers that know the same do not all choose the same.
+    /// Returns a pseudo-random cost of up to `spread` requests that depends on the request and
+    /// the upstream, so that routers with the same data do not all choose the same upstream.
     fn jitter(&self, index: usize, spread: f32) -> f32 {
-        let share = draw_share(self.question.tie_breaker, self.candidates[index].upstream.0);
-        share * spread * self.rules.per_request
+        let share = hash_pair_unit(self.query.tie_breaker, self.candidates[index].upstream.0);
+        share * spread * self.model.tokens_per_request
     }
 
-    fn tie(&self, index: usize) -> u64 {
-        draw(self.question.tie_breaker, self.candidates[index].upstream.0)
+    fn tie_hash(&self, index: usize) -> u64 {
+        hash_pair(self.query.tie_breaker, self.candidates[index].upstream.0)
     }
 }
--- a/crates/bendhinge_placement/src/displaced.rs
+++ b/crates/bendhinge_placement/src/displaced.rs
@@ -1,4 +1,4 @@
-//! Chats that could not go to their first upstream, remembered where they are asked for next.
+//! Locations of chats that were displaced from their preferred upstream.
 
 use std::collections::VecDeque;
 
@@ -6,52 +6,53 @@
 use rustc_hash::FxHashMap;
 
 #[derive(Clone, Debug)]
-struct Place {
+struct Location {
     upstream: UpstreamName,
-    stamp: u64,
+    sequence: u64,
 }
 
-/// A bounded memory of where displaced chats went; the oldest is forgotten first.
+/// A bounded map from displaced chats to the upstreams that serve them. The oldest entries are
+/// evicted first.
 ///
-/// The router that counts for a chat's first upstream is asked on every turn, so it can send
-/// a displaced chat back to its context without any further message.
+/// The owner of a chat's preferred upstream receives a permit request for each request of the chat,
+/// so it can redirect a displaced chat to its context without an additional message.
 #[derive(Debug)]
 pub struct DisplacedChats {
-    places: FxHashMap<ChatKey, Place>,
-    order: VecDeque<(ChatKey, u64)>,
+    locations: FxHashMap<ChatKey, Location>,
+    insertion_order: VecDeque<(ChatKey, u64)>,
     capacity: usize,
-    next_stamp: u64,
+    next_sequence: u64,
 }
 
 impl DisplacedChats {
-    /// A memory of at most `capacity` chats.
+    /// Creates a map of at most `capacity` chats.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
-        Self { places: FxHashMap::default(), order: VecDeque::new(), capacity, next_stamp: 0 }
+        Self { locations: FxHashMap::default(), insertion_order: VecDeque::new(), capacity, next_sequence: 0 }
     }
 
-    /// Remembers that `chat` went to `upstream`.
-    pub fn remember(&mut self, chat: ChatKey, upstream: UpstreamName) {
-        let stamp = self.next_stamp;
-        self.next_stamp += 1;
-        self.places.insert(chat, Place { upstream, stamp });
-        self.order.push_back((chat, stamp));
-        while self.places.len() > self.capacity || self.order.len() > 2 * self.capacity {
-            self.forget_oldest();
+    /// Records that `chat` was displaced to `upstream`.
+    pub fn record(&mut self, chat: ChatKey, upstream: UpstreamName) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.locations.insert(chat, Location { upstream, sequence });
+        self.insertion_order.push_back((chat, sequence));
+        while self.locations.len() > self.capacity || self.insertion_order.len() > 2 * self.capacity {
+            self.evict_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
-        let Some((chat, stamp)) = self.order.pop_front() else { return };
-        // An older note of a chat that was remembered again is only dropped from the order.
-        if self.places.get(&chat).is_some_and(|place| place.stamp == stamp) {
-            self.places.remove(&chat);
+    fn evict_oldest(&mut self) {
+        let Some((chat, sequence)) = self.insertion_order.pop_front() else { return };
+        // A chat that was recorded again has a newer entry, which must not be removed.
+        if self.locations.get(&chat).is_some_and(|location| location.sequence == sequence) {
+            self.locations.remove(&chat);
         }
     }
 
-    /// Where `chat` went, if it was displaced.
+    /// Returns the upstream to which `chat` was displaced.
     #[must_use]
-    pub fn place(&self, chat: ChatKey) -> Option<&UpstreamName> {
-        self.places.get(&chat).map(|place| &place.upstream)
+    pub fn location(&self, chat: ChatKey) -> Option<&UpstreamName> {
+        self.locations.get(&chat).map(|location| &location.upstream)
     }
 }
--- a/crates/bendhinge_placement/src/homes.rs
+++ b/crates/bendhinge_placement/src/homes.rs
@@ -1,56 +1,63 @@
-//! Where a subject is at home: the same at all routers that hold the same list, without a message.
+//! Home upstreams of affinity keys, by rendezvous hashing. Routers with the same list of upstreams
+//! choose the same home without communication.
 //!
-//! In a pool of a few hundred upstreams each soon keeps the heads of all prompts, and any may be a subject's home. In one
-//! of thousands each home of a subject would read its head again for that subject alone. There the subjects of
-//! one head have their homes in one group of upstreams, and in a further group while the first has too much to do.
+//! In a small pool, any upstream can be the home of a key. In a large pool, this would make each
+//! home process and cache the first part of the prompt (the prefix) for a few keys only. Large
+//! pools are therefore divided into groups: keys with the same prefix have their homes in one
+//! group, and in further groups while the first one is busy.
 
 use std::cmp::Reverse;
 
 use bendhinge_ids::NameHash;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::draw::draw;
+use crate::hash::hash_pair;
 use crate::{Candidate, PartId, Prompt};
 
-/// Pools of up to so many upstreams are one group.
-const LARGEST_GROUP: usize = 512;
-/// Upstreams in a group of a larger pool: at least so many, and less than twice that. In smaller groups the subjects that are
-/// asked for most meet at the same upstreams while all are read for the first time.
-const GROUP: usize = 128;
-/// Groups in which a home is looked for.
-const GROUPS_TRIED: usize = 3;
+/// Maximum number of upstreams in a pool that is not divided into groups.
+const MAX_SINGLE_GROUP_SIZE: usize = 512;
+/// Minimum number of upstreams per group in a larger pool; groups have fewer than twice as many on
+/// average. Smaller groups would concentrate popular keys on the same upstreams while their caches
+/// are cold.
+const MIN_GROUP_SIZE: usize = 128;
+/// Number of groups that are searched for a home below the load limit.
+const GROUPS_PER_PREFIX: usize = 3;
 
-/// The home of a prompt's subject among the candidates that take work: that of its head's first group in which it has
-/// less than `limit`, or else that of the first group.
-pub(crate) fn home(prompt: &Prompt, candidates: &[Candidate], limit: f32) -> Option<usize> {
-    let subject = prompt.subject()?;
+/// Returns the home of a prompt's affinity key among the candidates that accept requests: the one
+/// in the first group of its prefix in which the home is below `load_limit`, or else the one in the
+/// first group.
+pub(crate) fn home(prompt: &Prompt, candidates: &[Candidate], load_limit: f32) -> Option<usize> {
+    let affinity_key = prompt.affinity_key()?;
     let groups = group_count(candidates.len());
     if groups == 1 {
-        return home_among(subject, candidates, |_| true);
+        return home_in_group(affinity_key, candidates, |_| true);
     }
-    let head = prompt.shared().first().map_or(subject, |part| part.id);
-    // Further groups are looked through only if they are needed: each is a pass over the pool.
-    let mut homes = groups_of(head, groups).into_iter().filter_map(|group| {
-        home_among(subject, candidates, |candidate| group_of(candidate.upstream, groups) == group)
+    let prefix = prompt.shared().first().map_or(affinity_key, |part| part.id);
+    // Evaluated lazily, since each group takes a pass over the pool.
+    let mut homes = groups_for_prefix(prefix, groups).into_iter().filter_map(|group| {
+        home_in_group(affinity_key, candidates, |candidate| group_of(candidate.upstream, groups) == group)
     });
     let first = homes.next()?;
-    let is_free = |index: &usize| candidates[*index].load < limit;
-    if is_free(&first) { Some(first) } else { homes.find(is_free).or(Some(first)) }
+    let is_below_limit = |index: &usize| candidates[*index].load < load_limit;
+    if is_below_limit(&first) { Some(first) } else { homes.find(is_below_limit).or(Some(first)) }
 }
 
-fn home_among(
-    subject: PartId,
+fn home_in_group(
+    affinity_key: PartId,
     candidates: &[Candidate],
     is_in_group: impl Fn(&Candidate) -> bool,
 ) -> Option<usize> {
-    let working = candidates.iter().enumerate();
-    let working = working.filter(|(_, candidate)| candidate.takes_work && is_in_group(candidate));
-    working.max_by_key(|(_, candidate)| draw(subject.0, candidate.upstream.0)).map(|(index, _)| index)
+    let accepting = candidates.iter().enumerate();
+    let accepting = accepting.filter(|(_, candidate)| candidate.takes_work && is_in_group(candidate));
+    accepting
+        .max_by_key(|(_, candidate)| hash_pair(affinity_key.0, candidate.upstream.0))
+        .map(|(index, _)| index)
 }
 
-/// A power of two, so that a pool that grows splits groups and leaves half of each in place.
+/// Returns a power of two, so that a growing pool splits each group in two and half of its
+/// upstreams keep their group index.
 fn group_count(upstreams: usize) -> usize {
-    if upstreams <= LARGEST_GROUP { 1 } else { 1 << (upstreams / GROUP).ilog2() }
+    if upstreams <= MAX_SINGLE_GROUP_SIZE { 1 } else { 1 << (upstreams / MIN_GROUP_SIZE).ilog2() }
 }
 
 fn group_of(upstream: NameHash, groups: usize) -> usize {
@@ -58,9 +65,9 @@
     usize::try_from(hash % groups as u64).unwrap_or_default()
 }
 
-/// The groups of a head, in the order in which they are used.
-fn groups_of(head: PartId, groups: usize) -> [usize; GROUPS_TRIED] {
+/// Returns the groups of a prefix in order of preference.
+fn groups_for_prefix(prefix: PartId, groups: usize) -> [usize; GROUPS_PER_PREFIX] {
     let mut ranked: Vec<usize> = (0..groups).collect();
-    ranked.sort_unstable_by_key(|group| Reverse(draw(head.0, *group as u64)));
+    ranked.sort_unstable_by_key(|group| Reverse(hash_pair(prefix.0, *group as u64)));
     std::array::from_fn(|rank| ranked[rank % groups])
 }
--- a/crates/bendhinge_placement/src/ledger.rs
+++ b/crates/bendhinge_placement/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The exact count of what upstreams carry, at the router that counts for them.
+//! Exact permit counts of upstreams, kept by the router that owns them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,93 +9,93 @@
 
 use crate::DisplacedChats;
 
-/// An upstream's own word about its load; it lags.
+/// A load report from an upstream. It lags behind the actual load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running or queued there.
+    /// Requests running or queued on the upstream.
     pub in_progress: u32,
-    /// When it was measured, on the clock of the router that counts.
+    /// Time of the measurement on the owner's clock.
     pub measured_at: Instant,
 }
 
-/// What a ledger may hold.
+/// Limits of a [`PermitLedger`].
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerLimits {
-    /// A holder that is not heard of for this long has lost its permits.
+    /// Time after the last heartbeat of a holder at which its permits expire.
     pub lease: Duration,
-    /// How many displaced chats are remembered.
-    pub displaced_chats: usize,
+    /// Maximum number of displaced chats whose location is stored.
+    pub max_displaced_chats: usize,
 }
 
-/// A question for a permit.
+/// A request for a permit.
 #[derive(Clone, Debug)]
 pub struct PermitRequest {
-    /// The upstream.
+    /// The upstream to send to.
     pub upstream: UpstreamName,
-    /// The router that asks.
+    /// The router that requests the permit.
     pub holder: RouterLife,
-    /// The chat, if the upstream is its first by ranking: a chat that was displaced from there
-    /// is then told where it went.
+    /// The chat, if the upstream is its preferred one. The owner then redirects the chat if it
+    /// was displaced.
     pub first_choice_of: Option<ChatKey>,
-    /// The most that the upstream may carry with this request; see [`crate::LoadBound::limit`].
+    /// Maximum load of the upstream including this request; see [`crate::LoadBound::limit`].
     pub limit: u32,
 }
 
 /// A permit to send one request to one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Granted {
-    /// Its number, for the return.
+pub struct PermitGrant {
+    /// The permit's ID, for [`PermitLedger::release`].
     pub permit: PermitId,
-    /// The upstream's count with this request.
+    /// The upstream's load including this request.
     pub in_progress: u32,
 }
 
-/// Why no permit was given.
+/// The reason for denying a permit.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Denied {
-    /// The upstream carries as much as it may.
+pub enum PermitDenied {
+    /// The upstream has reached its load limit.
     AtBound {
-        /// Its count.
+        /// The upstream's load.
         in_progress: u32,
     },
-    /// The chat's context is at another upstream, to which it was displaced before.
-    Elsewhere(UpstreamName),
+    /// The chat was displaced to this upstream, which holds its context.
+    Redirect(UpstreamName),
 }
 
 #[derive(Debug)]
-struct Outstanding {
+struct OutstandingPermit {
     upstream: UpstreamName,
     holder: RouterLife,
 }
 
-/// How long changes of a count are kept, to be compared with lagging reports.
-const HISTORY: Duration = Duration::from_secs(5);
-/// How far apart a report's time and this router's clock may be.
-const REPORT_DOUBT: Duration = Duration::from_millis(250);
+/// Time for which the history of permit counts is kept, to be compared with delayed reports.
+const HISTORY_RETENTION: Duration = Duration::from_secs(5);
+/// Maximum difference between a report's time and this router's clock.
+const CLOCK_SKEW_TOLERANCE: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
-struct Count {
+struct UpstreamCount {
     permits: u32,
-    /// Earlier numbers of permits, each with the time from which it held.
+    /// Past permit counts, each with the time at which it became valid.
     history: VecDeque<(Instant, u32)>,
-    /// Work that the last report showed beyond the permits of its time: sent without a permit,
-    /// or under one of a router that counted before this one.
-    beyond_permits: u32,
+    /// Requests in the last report in excess of the permits at that time: sent without a
+    /// permit, or with a permit from a previous owner.
+    unpermitted: u32,
     reported_at: Option<Instant>,
 }
 
-impl Count {
-    fn change(&mut self, permits: u32, now: Instant) {
+impl UpstreamCount {
+    fn set_permits(&mut self, permits: u32, now: Instant) {
         self.permits = permits;
         self.history.push_back((now, permits));
-        while self.history.len() > 1 && now.since(self.history[1].0) > HISTORY {
+        while self.history.len() > 1 && now.since(self.history[1].0) > HISTORY_RETENTION {
             self.history.pop_front();
         }
     }
 
-    /// The most permits that were out about `then`.
-    fn permits_about(&self, then: Instant) -> u32 {
-        let (from, until) = (then - REPORT_DOUBT, then + REPORT_DOUBT);
+    /// Returns the maximum number of outstanding permits around time `at`.
+    fn max_permits_around(&self, at: Instant) -> u32 {
+        let (from, until) = (at - CLOCK_SKEW_TOLERANCE, at + CLOCK_SKEW_TOLERANCE);
         let mut most = 0;
         for (index, (since, permits)) in self.history.iter().enumerate() {
             let ended = self.history.get(index + 1).map(|next| next.0);
@@ -107,123 +107,126 @@
     }
 }
 
-/// The count for those upstreams that one router counts for.
+/// Permits and loads of the upstreams that one router owns.
 #[derive(Debug)]
 pub struct PermitLedger {
     limits: LedgerLimits,
-    counts: FxHashMap<UpstreamName, Count>,
-    outstanding: FxHashMap<PermitId, Outstanding>,
-    heard: FxHashMap<RouterLife, Instant>,
+    counts: FxHashMap<UpstreamName, UpstreamCount>,
+    outstanding: FxHashMap<PermitId, OutstandingPermit>,
+    last_heartbeats: FxHashMap<RouterLife, Instant>,
     displaced: DisplacedChats,
     next_permit: u64,
 }
 
 impl PermitLedger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     #[must_use]
     pub fn new(limits: LedgerLimits) -> Self {
         Self {
             limits,
             counts: FxHashMap::default(),
             outstanding: FxHashMap::default(),
-            heard: FxHashMap::default(),
-            displaced: DisplacedChats::new(limits.displaced_chats),
+            last_heartbeats: FxHashMap::default(),
+            displaced: DisplacedChats::new(limits.max_displaced_chats),
             next_permit: 1,
         }
     }
 
-    /// What `upstream` carries, as far as this ledger knows.
+    /// Returns the load of `upstream`: outstanding permits and reported requests without a
+    /// permit.
     #[must_use]
     pub fn in_progress(&self, upstream: &UpstreamName) -> u32 {
-        self.counts.get(upstream).map_or(0, |count| count.permits + count.beyond_permits)
+        self.counts.get(upstream).map_or(0, |count| count.permits + count.unpermitted)
     }
 
-    /// How many permits are out.
+    /// Returns the number of outstanding permits.
     #[must_use]
     pub fn outstanding(&self) -> usize {
         self.outstanding.len()
     }
 
-    /// Asks for a permit.
-    pub fn acquire(&mut self, request: &PermitRequest, now: Instant) -> Result<Granted, Denied> {
-        let displaced = request.first_choice_of.and_then(|chat| self.displaced.place(chat));
-        if let Some(place) = displaced.filter(|place| **place != request.upstream) {
-            return Err(Denied::Elsewhere(place.clone()));
+    /// Grants or denies a permit.
+    pub fn acquire(&mut self, request: &PermitRequest, now: Instant) -> Result<PermitGrant, PermitDenied> {
+        let displaced = request.first_choice_of.and_then(|chat| self.displaced.location(chat));
+        if let Some(location) = displaced.filter(|location| **location != request.upstream) {
+            return Err(PermitDenied::Redirect(location.clone()));
         }
         let in_progress = self.in_progress(&request.upstream);
         if in_progress >= request.limit {
-            return Err(Denied::AtBound { in_progress });
+            return Err(PermitDenied::AtBound { in_progress });
         }
-        match self.heard.get_mut(&request.holder) {
-            Some(heard) => *heard = now,
-            None => drop(self.heard.insert(request.holder.clone(), now)),
+        match self.last_heartbeats.get_mut(&request.holder) {
+            Some(last_heartbeat) => *last_heartbeat = now,
+            None => drop(self.last_heartbeats.insert(request.holder.clone(), now)),
         }
         Ok(self.grant(&request.upstream, &request.holder, now))
     }
 
-    fn grant(&mut self, upstream: &UpstreamName, holder: &RouterLife, now: Instant) -> Granted {
+    fn grant(&mut self, upstream: &UpstreamName, holder: &RouterLife, now: Instant) -> PermitGrant {
         let permit = PermitId(self.next_permit);
         self.next_permit += 1;
         let count = self.counts.entry(upstream.clone()).or_default();
-        count.change(count.permits + 1, now);
-        let in_progress = count.permits + count.beyond_permits;
-        let record = Outstanding { upstream: upstream.clone(), holder: holder.clone() };
+        count.set_permits(count.permits + 1, now);
+        let in_progress = count.permits + count.unpermitted;
+        let record = OutstandingPermit { upstream: upstream.clone(), holder: holder.clone() };
         self.outstanding.insert(permit, record);
-        Granted { permit, in_progress }
+        PermitGrant { permit, in_progress }
     }
 
-    /// Takes a permit back; `false` if it was returned or has lapsed before.
+    /// Releases a permit. Returns `false` if it was already released or has expired.
     pub fn release(&mut self, permit: PermitId, now: Instant) -> bool {
         let Some(record) = self.outstanding.remove(&permit) else { return false };
         if let Some(count) = self.counts.get_mut(&record.upstream) {
-            count.change(count.permits - 1, now);
+            count.set_permits(count.permits - 1, now);
         }
         true
     }
 
-    /// Notes that `chat` went to `place` because its first upstream was at its bound.
-    pub fn note_displaced(&mut self, chat: ChatKey, place: UpstreamName) {
-        self.displaced.remember(chat, place);
+    /// Records that `chat` was sent to `location` because its preferred upstream was at its
+    /// limit.
+    pub fn record_displaced(&mut self, chat: ChatKey, location: UpstreamName) {
+        self.displaced.record(chat, location);
     }
 
-    /// Takes in an upstream's report. What it shows beyond the permits of its time was sent
-    /// without one, or under those of a router that counted before this one.
-    pub fn report(&mut self, upstream: &UpstreamName, report: LoadReport) {
+    /// Applies a load report. Requests in excess of the permits at the time of the measurement
+    /// were sent without a permit, or with a permit from a previous owner.
+    pub fn apply_report(&mut self, upstream: &UpstreamName, report: LoadReport) {
         let count = self.counts.entry(upstream.clone()).or_default();
         if count.reported_at.is_some_and(|before| before > report.measured_at) {
             return;
         }
         count.reported_at = Some(report.measured_at);
-        count.beyond_permits = report.in_progress.saturating_sub(count.permits_about(report.measured_at));
+        count.unpermitted = report.in_progress.saturating_sub(count.max_permits_around(report.measured_at));
     }
 
-    /// Notes a sign of life that a router gave at `then`, which renews all its permits.
-    pub fn renew(&mut self, holder: &RouterLife, then: Instant) {
-        if let Some(heard) = self.heard.get_mut(holder) {
-            *heard = then.max(*heard);
+    /// Records a heartbeat sent by `holder` at time `at`, which renews all its permits.
+    pub fn renew(&mut self, holder: &RouterLife, at: Instant) {
+        if let Some(last_heartbeat) = self.last_heartbeats.get_mut(holder) {
+            *last_heartbeat = at.max(*last_heartbeat);
         }
     }
 
-    /// The lives of routers that hold or held permits.
+    /// Returns the router processes that hold or have held permits.
     pub fn holders(&self) -> impl Iterator<Item = &RouterLife> {
-        self.heard.keys()
+        self.last_heartbeats.keys()
     }
 
-    /// Ends the permits of routers that were not heard of for a lease, and gives their number.
+    /// Revokes the permits of routers without a heartbeat within the lease, and returns their
+    /// number.
     pub fn expire(&mut self, now: Instant) -> usize {
         let lease = self.limits.lease;
-        let lapsed: Vec<RouterLife> = self
-            .heard
+        let expired: Vec<RouterLife> = self
+            .last_heartbeats
             .iter()
-            .filter(|(_, heard)| now.since(**heard) > lease)
+            .filter(|(_, last_heartbeat)| now.since(**last_heartbeat) > lease)
             .map(|(holder, _)| holder.clone())
             .collect();
-        lapsed.iter().map(|holder| self.drop_holder(holder, now)).sum()
+        expired.iter().map(|holder| self.revoke_permits(holder, now)).sum()
     }
 
-    /// Ends all permits of a router that has stopped, and gives their number.
-    pub fn drop_holder(&mut self, holder: &RouterLife, now: Instant) -> usize {
-        self.heard.remove(holder);
+    /// Revokes all permits of a router process that has ended, and returns their number.
+    pub fn revoke_permits(&mut self, holder: &RouterLife, now: Instant) -> usize {
+        self.last_heartbeats.remove(holder);
         let permits: Vec<PermitId> = self
             .outstanding
             .iter()
@@ -233,9 +236,9 @@
         permits.into_iter().filter(|permit| self.release(*permit, now)).count()
     }
 
-    /// Drops an upstream that this router no longer counts for. Its permits can still be
-    /// returned, to no effect.
-    pub fn hand_over(&mut self, upstream: &UpstreamName) {
+    /// Removes an upstream that this router no longer owns. Releasing its permits later has no
+    /// effect.
+    pub fn drop_upstream(&mut self, upstream: &UpstreamName) {
         self.counts.remove(upstream);
         self.outstanding.retain(|_, record| record.upstream != *upstream);
     }
--- a/crates/bendhinge_placement/src/lib.rs
+++ b/crates/bendhinge_placement/src/lib.rs
@@ -1,43 +1,45 @@
-//! Which upstream serves a turn: pure functions over explicit state and an explicit clock.
+//! Selection of the upstream that serves a request: deterministic functions over explicit state and
+//! an explicit clock.
 //!
 //! * [`Ranking`] orders the upstreams of a pool for a chat by weighted rendezvous hashing.
-//! * [`LoadBound`] says how many requests an upstream may carry, as a multiple of the mean.
-//! * [`PermitLedger`] is the exact count at the moment of admission, kept by the one router
-//!   that counts for an upstream, with the displaced chats that it remembers.
-//! * [`LoadView`] is what one router believes of loads, and [`Walk`] how it goes through them.
-//! * [`choose`] finds the upstream of least cost for a prompt whose parts are named, over what
-//!   is believed to be kept where ([`KeptParts`]).
-//! * [`WarmingShare`] says which upstreams that are warming up a request may go to.
-//! * [`assess`] tells a router, from lagged knowledge alone, whether asking is needed at all.
+//! * [`LoadBound`] limits the load of an upstream to a multiple of the mean load.
+//! * [`PermitLedger`] keeps the exact load of an upstream at the router that owns it, and the
+//!   locations of displaced chats.
+//! * [`LoadView`] holds a router's estimate of all loads, and [`UpstreamSearch`] selects an
+//!   upstream from the ranking by these loads and by permits.
+//! * [`choose`] selects the upstream with the lowest cost for a prompt, based on the index of
+//!   cached prompt parts ([`CachedParts`]).
+//! * [`WarmupLimit`] limits the requests sent to upstreams that are warming up.
+//! * [`assess`] decides from possibly stale load data whether a permit must be requested.
 //!
-//! `docs/design/PLACEMENT.md` says what was weighed and which measurement decided.
+//! The design is described in `docs/design/PLACEMENT.md`.
 
+mod assessment;
 mod bound;
-mod budget;
+mod cached;
 mod cost;
 mod displaced;
-mod draw;
+mod hash;
 mod homes;
-mod kept;
-mod knowledge;
 mod ledger;
 mod owner;
+mod permit_budget;
 mod prompt;
 mod ranking;
+mod search;
 mod view;
-mod walk;
-mod warming;
+mod warmup;
 
+pub use assessment::{Assessment, KnownLoad, assess};
 pub use bound::{LoadBound, PoolLoad};
-pub use budget::AskBudget;
-pub use cost::{Candidate, Choice, ChoiceReason, CostRules, Question, choose};
+pub use cached::{CachedPart, CachedParts};
+pub use cost::{Candidate, Choice, ChoiceReason, CostModel, CostQuery, choose};
 pub use displaced::DisplacedChats;
-pub use kept::{KeptPart, KeptParts};
-pub use knowledge::{Assessment, KnownLoad, assess};
-pub use ledger::{Denied, Granted, LedgerLimits, LoadReport, PermitLedger, PermitRequest};
+pub use ledger::{LedgerLimits, LoadReport, PermitDenied, PermitGrant, PermitLedger, PermitRequest};
 pub use owner::{owner_of, rank_owners};
+pub use permit_budget::PermitRequestBudget;
 pub use prompt::{PartId, Prompt, PromptPart};
-pub use ranking::{Ranked, Ranking, SHORTLIST, Shortlist, UpstreamIndex};
-pub use view::{LoadView, ViewKey};
-pub use walk::{Answer, PlacementReason, Step, Walk, WalkPool};
-pub use warming::WarmingShare;
+pub use ranking::{RankedUpstream, Ranking, SHORTLIST_SIZE, Shortlist, UpstreamIndex};
+pub use search::{PermitResponse, PlacementReason, SearchPool, SearchStep, UpstreamSearch};
+pub use view::{LoadKey, LoadView};
+pub use warmup::WarmupLimit;
--- a/crates/bendhinge_placement/src/prompt.rs
+++ b/crates/bendhinge_placement/src/prompt.rs
@@ -1,19 +1,19 @@
-//! Prompts as chains of parts.
+//! Prompts as sequences of parts.
 
-/// A part of a prompt, by the number that its callers give it.
+/// Identifier of a prompt part, assigned by the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PartId(pub u64);
 
 /// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Which one.
+    /// Identifier of the part.
     pub id: PartId,
-    /// Its length.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// The parts of a prompt in order. The last belongs to the request itself; those before it are
+/// The parts of a prompt in order. The last part is specific to the request; those before it are
 /// shared with other requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
@@ -21,31 +21,32 @@
 }
 
 impl Prompt {
-    /// A prompt of `parts`.
+    /// Creates a prompt from its parts.
     #[must_use]
     pub const fn new(parts: Vec<PromptPart>) -> Self {
         Self { parts }
     }
 
-    /// The parts that other requests share.
+    /// Returns the parts that are shared with other requests.
     #[must_use]
     pub fn shared(&self) -> &[PromptPart] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
-    /// What the request is about: the last shared part, or else its own.
+    /// Returns the key by which requests are grouped on an upstream: the last shared part, or
+    /// the only part if none is shared.
     #[must_use]
-    pub fn subject(&self) -> Option<PartId> {
+    pub fn affinity_key(&self) -> Option<PartId> {
         self.shared().last().or(self.parts.last()).map(|part| part.id)
     }
 
-    /// Tokens of the shared parts.
+    /// Returns the number of tokens in the shared parts.
     #[must_use]
     pub fn shared_tokens(&self) -> u32 {
         self.shared().iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens of all parts.
+    /// Returns the number of tokens in all parts.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.parts.iter().map(|part| part.tokens).sum()
--- a/crates/bendhinge_placement/src/ranking.rs
+++ b/crates/bendhinge_placement/src/ranking.rs
@@ -1,34 +1,34 @@
-//! Weighted rendezvous hashing: the same chat finds the same upstreams in the same order
-//! through every router, and an upstream that comes or goes moves only its own chats.
+//! Weighted rendezvous hashing of chats to upstreams. Every router computes the same order, and
+//! adding or removing an upstream moves only the chats assigned to it.
 
 use bendhinge_ids::{ChatKey, UpstreamName};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How many upstreams a shortlist holds. With a bound of 1.25 times the mean fewer than one
-/// chat in a thousand has its first eight upstreams all at their bound.
-pub const SHORTLIST: usize = 8;
+/// Number of upstreams in a shortlist. Large enough that it is unlikely for all of them to be at
+/// their load limit at once.
+pub const SHORTLIST_SIZE: usize = 8;
 
-/// The position of an upstream in its [`Ranking`].
+/// Index of an upstream in its [`Ranking`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamIndex(pub u32);
 
-/// One listed upstream.
+/// An upstream to be ranked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ranked {
-    /// Its name, whose hash is its seed.
+pub struct RankedUpstream {
+    /// Name of the upstream; its hash seeds the scores.
     pub name: UpstreamName,
-    /// Its size relative to others of the pool; above zero.
+    /// Relative capacity within the pool; greater than zero.
     pub weight: f64,
-    /// 0 in the router's own region, 1 elsewhere. A nearer tier comes first whole: distance
-    /// within a region does not count, or a chat would move with the router it arrives through.
+    /// 0 in the router's own region, 1 elsewhere. All upstreams of a lower tier precede those
+    /// of a higher one. Distance within a region is ignored, since a chat's order would
+    /// otherwise depend on the router that receives the request.
     pub tier: u8,
-    /// Whether it may take new work. One that may not keeps its place in the order, so that a
-    /// chat's first upstream stays the same while upstreams come and go, and with it the router
-    /// that remembers where the chat is.
+    /// Whether it accepts new requests. An upstream that does not keeps its position, so that a
+    /// chat's preferred upstream, whose owner stores the chat's location, stays the same.
     pub serving: bool,
 }
 
-/// Upstreams of one tier and weight, which can be compared by their raw scores.
+/// Upstreams of the same tier and weight, whose scores are directly comparable.
 #[derive(Clone, Copy, Debug)]
 struct Group {
     start: usize,
@@ -43,32 +43,32 @@
     score: u64,
 }
 
-/// The listed upstreams of one pool, ready to be ordered for a chat.
+/// The upstreams of a pool, indexed for ranking.
 #[derive(Clone, Debug, Default)]
 pub struct Ranking {
-    upstreams: Vec<Ranked>,
+    upstreams: Vec<RankedUpstream>,
     seeds: Vec<u64>,
     groups: Vec<Group>,
-    serving: usize,
+    serving_count: usize,
     serving_weight: f64,
 }
 
-/// The first upstreams of a chat, best first.
+/// The highest-ranked upstreams for a chat, best first.
 #[derive(Clone, Copy, Debug)]
 pub struct Shortlist {
-    indices: [UpstreamIndex; SHORTLIST],
+    indices: [UpstreamIndex; SHORTLIST_SIZE],
     length: usize,
 }
 
 impl Shortlist {
-    /// The upstreams, best first.
+    /// Returns the upstreams, best first.
     #[must_use]
     pub fn as_slice(&self) -> &[UpstreamIndex] {
         &self.indices[..self.length]
     }
 
     fn push(&mut self, index: UpstreamIndex) {
-        if self.length < SHORTLIST {
+        if self.length < SHORTLIST_SIZE {
             self.indices[self.length] = index;
             self.length += 1;
         }
@@ -76,9 +76,9 @@
 }
 
 impl Ranking {
-    /// A ranking of `upstreams`, whatever their order.
+    /// Creates a ranking of `upstreams`, which may be in any order.
     #[must_use]
-    pub fn new(mut upstreams: Vec<Ranked>) -> Self {
+    pub fn new(mut upstreams: Vec<RankedUpstream>) -> Self {
         upstreams.sort_by(|left, right| {
             left.tier
                 .cmp(&right.tier)
@@ -86,25 +86,25 @@
                 .then_with(|| left.name.cmp(&right.name))
         });
         let seeds = upstreams.iter().map(|upstream| xxh3_64(upstream.name.as_str().as_bytes())).collect();
-        let serving_weight = serving(&upstreams).map(|upstream| upstream.weight).sum();
-        let serving = serving(&upstreams).count();
-        let groups = group(&upstreams);
-        Self { upstreams, seeds, groups, serving, serving_weight }
+        let serving_weight = serving_upstreams(&upstreams).map(|upstream| upstream.weight).sum();
+        let serving_count = serving_upstreams(&upstreams).count();
+        let groups = group_by_weight(&upstreams);
+        Self { upstreams, seeds, groups, serving_count, serving_weight }
     }
 
-    /// How many upstreams may take new work.
+    /// Returns the number of upstreams that accept new requests.
     #[must_use]
-    pub const fn serving(&self) -> usize {
-        self.serving
+    pub const fn serving_count(&self) -> usize {
+        self.serving_count
     }
 
-    /// The weight of those that may take new work.
+    /// Returns the total weight of the upstreams that accept new requests.
     #[must_use]
     pub const fn serving_weight(&self) -> f64 {
         self.serving_weight
     }
 
-    /// The positions of those that may take new work.
+    /// Returns the indices of the upstreams that accept new requests.
     pub fn serving_indices(&self) -> impl Iterator<Item = UpstreamIndex> {
         (0..)
             .map(UpstreamIndex)
@@ -113,79 +113,81 @@
             .map(|(index, _)| index)
     }
 
-    /// All upstreams; positions are [`UpstreamIndex`]es.
+    /// Returns all upstreams, in the order of [`UpstreamIndex`].
     #[must_use]
-    pub fn upstreams(&self) -> &[Ranked] {
+    pub fn upstreams(&self) -> &[RankedUpstream] {
         &self.upstreams
     }
 
-    /// The upstream at `index`.
+    /// Returns the upstream at `index`.
     #[must_use]
-    pub fn get(&self, index: UpstreamIndex) -> &Ranked {
+    pub fn get(&self, index: UpstreamIndex) -> &RankedUpstream {
         &self.upstreams[index.0 as usize]
     }
 
-    /// The upstream called `name`, if it may take new work.
+    /// Returns the index of the upstream called `name`, if it accepts new requests.
     #[must_use]
-    pub fn find(&self, name: &UpstreamName) -> Option<UpstreamIndex> {
+    pub fn find_serving(&self, name: &UpstreamName) -> Option<UpstreamIndex> {
         self.serving_indices().find(|index| self.get(*index).name == *name)
     }
 
-    /// The part that the upstream at `index` has of the weight that may take new work.
+    /// Returns the weight of the upstream at `index` as a fraction of the total serving weight.
     #[must_use]
-    pub fn share(&self, index: UpstreamIndex) -> f64 {
+    pub fn weight_share(&self, index: UpstreamIndex) -> f64 {
         self.get(index).weight / self.serving_weight
     }
 
-    /// The first upstreams for `chat`, best first.
+    /// Returns the highest-ranked upstreams for `chat`.
     #[must_use]
     pub fn shortlist(&self, chat: ChatKey) -> Shortlist {
-        let mut list = Shortlist { indices: [UpstreamIndex(0); SHORTLIST], length: 0 };
+        let mut shortlist = Shortlist { indices: [UpstreamIndex(0); SHORTLIST_SIZE], length: 0 };
         let mut first = 0;
-        while first < self.groups.len() && list.length < SHORTLIST {
+        while first < self.groups.len() && shortlist.length < SHORTLIST_SIZE {
             let tier = self.groups[first].tier;
             let end = first + self.groups[first..].iter().take_while(|group| group.tier == tier).count();
-            self.append_tier(chat, &self.groups[first..end], &mut list);
+            self.append_tier(chat, &self.groups[first..end], &mut shortlist);
             first = end;
         }
-        list
+        shortlist
     }
 
-    fn append_tier(&self, chat: ChatKey, groups: &[Group], list: &mut Shortlist) {
-        if let [only] = groups {
-            let best = self.best_of_group(chat, *only);
+    fn append_tier(&self, chat: ChatKey, groups: &[Group], shortlist: &mut Shortlist) {
+        if let [group] = groups {
+            let best = self.top_of_group(chat, *group);
             for scored in best.iter() {
-                list.push(scored.index);
+                shortlist.push(scored.index);
             }
             return;
         }
-        // Only the best of each group can be among the best of the tier, so the logarithm that
-        // weights need is taken for a few upstreams and not for all.
-        let mut candidates = Vec::with_capacity(groups.len() * SHORTLIST);
+        // Only the best of each group can be among the best of the tier, so the logarithm
+        // for weighting is computed for these few upstreams only.
+        let mut candidates = Vec::with_capacity(groups.len() * SHORTLIST_SIZE);
         for group in groups {
-            let best = self.best_of_group(chat, *group);
-            candidates.extend(best.iter().map(|scored| (cost(scored.score, group.weight), scored.index)));
+            let best = self.top_of_group(chat, *group);
+            candidates.extend(
+                best.iter().map(|scored| (exponential_variate(scored.score, group.weight), scored.index)),
+            );
         }
         candidates.sort_by(|left, right| left.0.total_cmp(&right.0));
         for (_, index) in candidates {
-            list.push(index);
+            shortlist.push(index);
         }
     }
 
-    fn best_of_group(&self, chat: ChatKey, group: Group) -> Best {
+    fn top_of_group(&self, chat: ChatKey, group: Group) -> TopScores {
         let size = group.end - group.start;
-        if size > LARGE_GROUP {
-            let high = self.scored_above(chat, group, high_score(size));
-            // Too few by a rare chance: all must be looked at.
-            if high.length >= SHORTLIST {
-                return high;
+        if size > LARGE_GROUP_SIZE {
+            let prefiltered = self.top_scores_above(chat, group, prefilter_threshold(size));
+            // In the rare case of too few matches, the whole group must be searched.
+            if prefiltered.length >= SHORTLIST_SIZE {
+                return prefiltered;
             }
         }
-        self.scored_above(chat, group, 0)
+        self.top_scores_above(chat, group, 0)
     }
 
-    fn scored_above(&self, chat: ChatKey, group: Group, threshold: u64) -> Best {
-        let mut best = Best::new(threshold);
+    fn top_scores_above(&self, chat: ChatKey, group: Group, threshold: u64) -> TopScores {
+        let mut best = TopScores::new(threshold);
         for (offset, seed) in self.seeds[group.start..group.end].iter().enumerate() {
             let score = mix(chat.0, *seed);
             if score > best.threshold {
@@ -200,26 +202,27 @@
     }
 }
 
-/// Groups above this size are first searched for high scores alone: keeping the best of all
-/// seen so far costs more than the scores.
-const LARGE_GROUP: usize = 64;
+/// Larger groups are first searched with a score threshold, since maintaining the list of best
+/// scores costs more than computing the scores.
+const LARGE_GROUP_SIZE: usize = 64;
 
-/// A score that about three times as many upstreams of a group of `size` pass as are wanted.
-const fn high_score(size: usize) -> u64 {
-    const WANTED: u64 = 3 * SHORTLIST as u64;
-    u64::MAX - u64::MAX / size as u64 * WANTED
+/// Returns a threshold that about `3 * SHORTLIST_SIZE` scores of a group of `size` upstreams
+/// exceed.
+const fn prefilter_threshold(size: usize) -> u64 {
+    const EXPECTED_MATCHES: u64 = 3 * SHORTLIST_SIZE as u64;
+    u64::MAX - u64::MAX / size as u64 * EXPECTED_MATCHES
 }
 
-/// The best scored upstreams of a group, best first.
-struct Best {
-    entries: [Scored; SHORTLIST],
+/// The highest scores of a group in descending order.
+struct TopScores {
+    entries: [Scored; SHORTLIST_SIZE],
     length: usize,
     threshold: u64,
 }
 
-impl Best {
+impl TopScores {
     fn new(threshold: u64) -> Self {
-        Self { entries: [Scored { index: UpstreamIndex(0), score: 0 }; SHORTLIST], length: 0, threshold }
+        Self { entries: [Scored { index: UpstreamIndex(0), score: 0 }; SHORTLIST_SIZE], length: 0, threshold }
     }
 
     fn iter(&self) -> impl Iterator<Item = &Scored> {
@@ -227,21 +230,21 @@
     }
 
     fn insert(&mut self, scored: Scored) {
-        let place = self.iter().take_while(|entry| entry.score >= scored.score).count();
-        self.length = (self.length + 1).min(SHORTLIST);
-        self.entries[place..self.length].rotate_right(1);
-        self.entries[place] = scored;
-        if self.length == SHORTLIST {
-            self.threshold = self.entries[SHORTLIST - 1].score;
+        let position = self.iter().take_while(|entry| entry.score >= scored.score).count();
+        self.length = (self.length + 1).min(SHORTLIST_SIZE);
+        self.entries[position..self.length].rotate_right(1);
+        self.entries[position] = scored;
+        if self.length == SHORTLIST_SIZE {
+            self.threshold = self.entries[SHORTLIST_SIZE - 1].score;
         }
     }
 }
 
-fn serving(upstreams: &[Ranked]) -> impl Iterator<Item = &Ranked> {
+fn serving_upstreams(upstreams: &[RankedUpstream]) -> impl Iterator<Item = &RankedUpstream> {
     upstreams.iter().filter(|upstream| upstream.serving)
 }
 
-fn group(upstreams: &[Ranked]) -> Vec<Group> {
+fn group_by_weight(upstreams: &[RankedUpstream]) -> Vec<Group> {
     let mut groups: Vec<Group> = Vec::new();
     for (index, upstream) in upstreams.iter().enumerate() {
         match groups.last_mut() {
@@ -259,18 +262,17 @@
     groups
 }
 
-/// A folded multiplication, the core of hashes such as wyhash: both inputs are hashes already,
-/// so one round is enough, and it costs a third of a full finalizer.
+/// Folded multiplication, as in wyhash. One round is sufficient because both inputs are hashes.
 #[expect(clippy::cast_possible_truncation, reason = "the two halves are folded into one")]
 const fn mix(chat: u64, seed: u64) -> u64 {
     const ODD: u64 = 0x9e37_79b9_7f4a_7c15;
-    let wide = ((chat ^ seed) as u128) * ((chat.rotate_left(32) ^ ODD) as u128);
-    (wide as u64) ^ ((wide >> 64) as u64)
+    let product = ((chat ^ seed) as u128) * ((chat.rotate_left(32) ^ ODD) as u128);
+    (product as u64) ^ ((product >> 64) as u64)
 }
 
-/// An exponential variate of rate `weight`: the upstream with the smallest has the chat, with
-/// a probability proportional to its weight.
-fn cost(score: u64, weight: f64) -> f64 {
+/// Converts a uniform score to an exponential variate of rate `weight`. The upstream with the
+/// smallest variate is selected, with a probability proportional to its weight.
+fn exponential_variate(score: u64, weight: f64) -> f64 {
     const RANGE: f64 = 18_446_744_073_709_551_616.0;
     -((score as f64 + 0.5) / RANGE).ln() / weight
 }
--- a/crates/bendhinge_router/src/control/housekeeping.rs
+++ b/crates/bendhinge_router/src/control/housekeeping.rs
@@ -71,7 +71,7 @@
     };
     let over: Vec<RouterLife> = ledger.holders().filter(|holder| is_over(holder)).cloned().collect();
     for holder in &over {
-        ledger.drop_holder(holder, now);
+        ledger.revoke_permits(holder, now);
     }
     ledger.expire(now);
 }
--- a/crates/bendhinge_router/src/control/loads.rs
+++ b/crates/bendhinge_router/src/control/loads.rs
@@ -54,7 +54,7 @@
     if let Ok(report) = report {
         let measured_at = asked_at - Duration::from_millis(report.lag_ms);
         let report = LoadReport { in_progress: report.in_progress, measured_at };
-        node.ledger.lock().unwrap().report(&target.name, report);
+        node.ledger.lock().unwrap().apply_report(&target.name, report);
     }
     let changed = node.health.lock().unwrap().queried(target.hash, answered);
     if let Some(reachable) = changed {
--- a/crates/bendhinge_router/src/membership/rebuild.rs
+++ b/crates/bendhinge_router/src/membership/rebuild.rs
@@ -7,7 +7,7 @@
 use bendhinge_configuration::Configuration;
 use bendhinge_ids::{BoxName, CustomerName, DataCentreName, NameHash, PoolName, UpstreamName};
 use bendhinge_membership::MemberState;
-use bendhinge_placement::{Ranked, Ranking, owner_of};
+use bendhinge_placement::{RankedUpstream, Ranking, owner_of};
 use bendhinge_timeline::EventKind;
 
 use super::fleet::{Fleet, FleetPool, Names, Owner, RouterEntry, Target};
@@ -85,7 +85,7 @@
     let before = before.upstreams.iter().filter(|target| target.owner == Owner::Own);
     let lost = before.filter(|target| !owned.contains(&target.name));
     let mut ledger = node.ledger.lock().unwrap();
-    lost.for_each(|target| ledger.hand_over(&target.name));
+    lost.for_each(|target| ledger.drop_upstream(&target.name));
 }
 
 fn pools(
@@ -100,7 +100,7 @@
             let serves = |member: &Listed| {
                 member.live && configuration.may_serve(&member.target.name, &member.data_centre)
             };
-            let ranked = members.iter().map(|member| Ranked {
+            let ranked = members.iter().map(|member| RankedUpstream {
                 name: member.target.name.clone(),
                 weight: member.weight,
                 tier: tier(configuration, &node.settings.data_centre, &member.data_centre),
--- a/crates/bendhinge_router/src/node.rs
+++ b/crates/bendhinge_router/src/node.rs
@@ -11,7 +11,7 @@
 use bendhinge_ids::{EventSequence, RequestId, RouterLife};
 use bendhinge_membership::{Freshness, FreshnessLimits};
 use bendhinge_peer::Traffic;
-use bendhinge_placement::{AskBudget, LedgerLimits, LoadView, PermitLedger};
+use bendhinge_placement::{LedgerLimits, LoadView, PermitLedger, PermitRequestBudget};
 use bendhinge_timeline::{EventKind, EventLink, ProcessId, Record};
 use smol::channel::Sender;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -43,7 +43,7 @@
     pub(crate) freshness: Mutex<Freshness>,
     pub(crate) configuration: Mutex<ConfigurationState>,
     pub(crate) membership: Mutex<Membership>,
-    pub(crate) asks: Mutex<AskBudget>,
+    pub(crate) asks: Mutex<PermitRequestBudget>,
     pub(crate) loads: Mutex<LoadView>,
     pub(crate) health: Mutex<Health>,
     pub(crate) ledger: Mutex<PermitLedger>,
@@ -69,7 +69,7 @@
         let now = bendhinge_clock::now();
         let process = ProcessId { name: life.name.to_string(), incarnation: life.incarnation };
         let limits = FreshnessLimits { gap: settings.control.gap, patience: settings.control.patience };
-        let ledger = LedgerLimits { lease: settings.control.lease, displaced_chats: DISPLACED_CHATS };
+        let ledger = LedgerLimits { lease: settings.control.lease, max_displaced_chats: DISPLACED_CHATS };
         let once = OnceLimits { window: settings.once.window, keys: settings.once.keys };
         Self {
             record: Record::new(process, settings.events),
--- a/crates/bendhinge_router/src/operators/mod.rs
+++ b/crates/bendhinge_router/src/operators/mod.rs
@@ -115,7 +115,7 @@
         superseded_digest: superseded.map(|(_, digest)| digest.to_string()),
         list_revision: node.membership.lock().unwrap().directory.list().revision,
         counting_routers: fleet.counting.iter().map(ToString::to_string).collect(),
-        upstreams: fleet.pools.values().map(|pool| pool.ranking.serving()).sum(),
+        upstreams: fleet.pools.values().map(|pool| pool.ranking.serving_count()).sum(),
         permits_outstanding: node.ledger.lock().unwrap().outstanding(),
         peer_sent_bytes: node.traffic.sent_bytes(),
         peer_received_bytes: node.traffic.received_bytes(),
--- a/crates/bendhinge_router/src/placement/choose.rs
+++ b/crates/bendhinge_router/src/placement/choose.rs
@@ -4,7 +4,7 @@
 
 use bendhinge_codes::ResultCode;
 use bendhinge_ids::{ChatKey, RequestId, UpstreamName};
-use bendhinge_placement::{Answer, Step, UpstreamIndex, Walk, WalkPool};
+use bendhinge_placement::{PermitResponse, SearchPool, SearchStep, UpstreamIndex, UpstreamSearch};
 use bendhinge_timeline::EventKind;
 use opentelemetry::KeyValue;
 
@@ -27,16 +27,17 @@
     request: RequestId,
     tried: &[UpstreamName],
 ) -> Result<Chosen, ResultCode> {
-    let walk_pool = WalkPool {
+    let walk_pool = SearchPool {
         name: &pool.name,
         ranking: &pool.ranking,
         hashes: &pool.hashes,
         bound: pool.rule.load_bound,
     };
-    let tried = tried.iter().filter_map(|name| pool.ranking.find(name)).collect();
-    let frugal = !node.asks.lock().unwrap().take(bendhinge_clock::now());
+    let tried = tried.iter().filter_map(|name| pool.ranking.find_serving(name)).collect();
+    let frugal = !node.asks.lock().unwrap().try_acquire(bendhinge_clock::now());
     let walk =
-        Walk::new(walk_pool, chat, tried, &node.loads.lock().unwrap(), bendhinge_clock::now()).frugal(frugal);
+        UpstreamSearch::new(walk_pool, chat, tried, &node.loads.lock().unwrap(), bendhinge_clock::now())
+            .skip_optional_permit(frugal);
     if walk.is_empty() {
         return Err(ResultCode::NoUpstream);
     }
@@ -56,31 +57,31 @@
     pool: &'a FleetPool,
     chat: ChatKey,
     request: RequestId,
-    walk: Walk<'a>,
+    walk: UpstreamSearch<'a>,
 }
 
 impl Driver<'_> {
     async fn go(&mut self) -> Option<(UpstreamIndex, Permit)> {
         loop {
             let (upstream, first_choice, limit) = match self.next() {
-                Step::Exhausted => return None,
-                Step::Take(upstream) => return Some((upstream, self.uncounted(upstream))),
-                Step::Ask { upstream, first_choice, limit } => (upstream, first_choice, limit),
+                SearchStep::Exhausted => return None,
+                SearchStep::Send(upstream) => return Some((upstream, self.uncounted(upstream))),
+                SearchStep::Acquire { upstream, first_choice, limit } => (upstream, first_choice, limit),
             };
             let answer = match self.ask(upstream, first_choice, limit).await {
                 Asked::Granted(permit) => return Some((upstream, permit)),
-                Asked::AtBound => Answer::AtBound,
-                Asked::Elsewhere(place) => Answer::Elsewhere(self.pool.ranking.find(&place)),
-                Asked::NoWord => Answer::NoWord,
+                Asked::AtBound => PermitResponse::AtBound,
+                Asked::Elsewhere(place) => PermitResponse::Redirect(self.pool.ranking.find_serving(&place)),
+                Asked::NoWord => PermitResponse::NoResponse,
             };
-            let alone = self.walk.answered(answer, &self.node.loads.lock().unwrap());
+            let alone = self.walk.handle_response(answer, &self.node.loads.lock().unwrap());
             if let Some(upstream) = alone {
                 return Some((upstream, self.uncounted(upstream)));
             }
         }
     }
 
-    fn next(&mut self) -> Step {
+    fn next(&mut self) -> SearchStep {
         let counts_itself = |index| self.pool.target(index).owner == Owner::Own;
         let loads = self.node.loads.lock().unwrap();
         self.walk.next(&loads, counts_itself, bendhinge_clock::now())
@@ -99,7 +100,7 @@
     /// Lets the routers that will be asked for the chat first know where it is.
     fn tell_displaced(&self, place: UpstreamIndex) {
         let name = &self.pool.target(place).name;
-        for remembering in self.walk.remembering(place) {
+        for remembering in self.walk.displacement_recorders(place) {
             match &self.pool.target(remembering).owner {
                 Owner::Own => note_displaced(self.node, self.chat, name),
                 Owner::Peer(owner) => {
@@ -115,5 +116,5 @@
 /// Remembers where a chat is. One that is back at its first upstream is remembered to be there:
 /// being sent on to where it asks anyway costs it nothing.
 pub(crate) fn note_displaced(node: &Node, chat: ChatKey, place: &UpstreamName) {
-    node.ledger.lock().unwrap().note_displaced(chat, place.clone());
+    node.ledger.lock().unwrap().record_displaced(chat, place.clone());
 }
--- a/crates/bendhinge_router/src/placement/knowledge.rs
+++ b/crates/bendhinge_router/src/placement/knowledge.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bendhinge_ids::{BoxName, NameHash};
-use bendhinge_placement::ViewKey;
+use bendhinge_placement::LoadKey;
 
 use crate::membership::{Fleet, Owner, Target};
 use crate::node::Node;
@@ -39,8 +39,8 @@
 }
 
 /// How the view of loads names an upstream.
-pub(crate) fn view_key(target: &Target) -> ViewKey<'_> {
-    ViewKey { upstream: target.hash, pool: &target.pool }
+pub(crate) fn view_key(target: &Target) -> LoadKey<'_> {
+    LoadKey { upstream: target.hash, pool: &target.pool }
 }
 
 /// Brings the view up to date with the own counts and other routers' summaries; `true` if an
@@ -67,7 +67,7 @@
     let counts = own_counts(node, fleet);
     let mut loads = node.loads.lock().unwrap();
     for (target, count) in &counts {
-        loads.learn(view_key(target), *count, now);
+        loads.record_count(view_key(target), *count, now);
     }
 }
 
@@ -89,7 +89,7 @@
     for (summary, age) in membership.exchange.summaries(now) {
         for count in &summary.upstreams {
             let Some(target) = counted.get(&(&summary.name, count.upstream)) else { continue };
-            loads.learn(view_key(target), count.in_progress.into(), now - age);
+            loads.record_count(view_key(target), count.in_progress.into(), now - age);
             changed |= health.set(count.upstream, count.reachable);
         }
     }
@@ -101,14 +101,14 @@
     let fleet = node.fleet();
     let listed: HashSet<NameHash> = fleet.upstreams.iter().map(|target| target.hash).collect();
     let mut loads = node.loads.lock().unwrap();
-    loads.keep_only(|pool| fleet.pools.contains_key(pool), |upstream| listed.contains(&upstream));
+    loads.retain(|pool| fleet.pools.contains_key(pool), |upstream| listed.contains(&upstream));
     for (name, pool) in &fleet.pools {
         loads.set_pool(name, pool.serving_hashes());
     }
     let skews = fleet.pools.values().map(|pool| {
         let highest = pool.serving_hashes().map(|hash| loads.load(hash)).max().unwrap_or(0);
         let total = loads.pool_load(&pool.name).in_progress.max(1);
-        f64::from(highest) * pool.ranking.serving() as f64 / f64::from(total)
+        f64::from(highest) * pool.ranking.serving_count() as f64 / f64::from(total)
     });
     let worst = skews.fold(0.0, f64::max);
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a small positive ratio")]
--- a/crates/bendhinge_router/src/placement/permit.rs
+++ b/crates/bendhinge_router/src/placement/permit.rs
@@ -5,7 +5,7 @@
 
 use bendhinge_ids::{ChatKey, PermitId, RequestId, UpstreamName};
 use bendhinge_peer::{PermitAnswer, Told};
-use bendhinge_placement::{Denied, PermitRequest};
+use bendhinge_placement::{PermitDenied, PermitRequest};
 use bendhinge_timeline::EventKind;
 use opentelemetry::KeyValue;
 
@@ -32,7 +32,7 @@
 
 impl Permit {
     fn new(node: &Arc<Node>, target: &Arc<Target>, origin: Origin) -> Self {
-        node.loads.lock().unwrap().sent(view_key(target), bendhinge_clock::now());
+        node.loads.lock().unwrap().request_started(view_key(target), bendhinge_clock::now());
         Self { node: Arc::clone(node), target: Arc::clone(target), origin }
     }
 
@@ -44,7 +44,7 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.node.loads.lock().unwrap().ended(view_key(&self.target), bendhinge_clock::now());
+        self.node.loads.lock().unwrap().request_ended(view_key(&self.target), bendhinge_clock::now());
         match self.origin {
             Origin::None => {}
             Origin::Own(permit) => {
@@ -101,12 +101,12 @@
     let answer = node.ledger.lock().unwrap().acquire(request, bendhinge_clock::now());
     match answer {
         Ok(granted) => Asked::Granted(Permit::new(node, question.target, Origin::Own(granted.permit))),
-        Err(Denied::AtBound { in_progress }) => {
+        Err(PermitDenied::AtBound { in_progress }) => {
             // Others' permits are in the own count before the view hears of them.
             learn(node, question.target, in_progress);
             Asked::AtBound
         }
-        Err(Denied::Elsewhere(place)) => Asked::Elsewhere(place),
+        Err(PermitDenied::Redirect(place)) => Asked::Elsewhere(place),
     }
 }
 
@@ -145,7 +145,7 @@
 }
 
 fn learn(node: &Node, target: &Target, in_progress: u32) {
-    node.loads.lock().unwrap().learn(view_key(target), in_progress, bendhinge_clock::now());
+    node.loads.lock().unwrap().record_count(view_key(target), in_progress, bendhinge_clock::now());
 }
 
 /// Answers a peer's question for a permit.
@@ -178,7 +178,7 @@
 fn count(node: &Node, request: &PermitRequest) -> PermitAnswer {
     match node.ledger.lock().unwrap().acquire(request, bendhinge_clock::now()) {
         Ok(granted) => PermitAnswer::Granted(granted),
-        Err(Denied::AtBound { in_progress }) => PermitAnswer::AtBound { in_progress },
-        Err(Denied::Elsewhere(place)) => PermitAnswer::Elsewhere(place),
+        Err(PermitDenied::AtBound { in_progress }) => PermitAnswer::AtBound { in_progress },
+        Err(PermitDenied::Redirect(place)) => PermitAnswer::Elsewhere(place),
     }
 }
