--- a/crates/bendhinge_fleet/src/directory.rs
+++ b/crates/bendhinge_fleet/src/directory.rs
@@ -1,8 +1,8 @@
-//! Which upstreams there are.
+//! The directory of upstreams, built from the lists that the platform's store provides.
 //!
-//! A list is taken from the platform as it is, but for one thing: while the platform's store is
-//! in trouble, entries can lapse although their upstreams are well. Entries that vanish right
-//! after a time without evidence are therefore kept for a while, to be judged by their answers.
+//! Lists are applied as they are, with one exception: while the store is impaired, entries can expire
+//! although their upstreams are healthy. Entries that disappear shortly after a period without confirmed
+//! lists are therefore kept for a grace period, in which request results tell whether they are usable.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,283 +13,289 @@
 
 use crate::Revision;
 
-/// Whether an upstream takes new work, as it reports itself.
+/// Whether an upstream accepts new work, according to itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum UpstreamState {
-    /// It does.
+    /// The upstream accepts new work.
     Ready,
-    /// It is about to leave.
+    /// The upstream is about to leave and accepts no new work.
     Draining,
 }
 
-/// That an upstream warms up: until then it bears a few requests a second only.
+/// The warm-up of an upstream, during which it gets only a few requests per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WarmUp {
-    /// How long it still took when the upstream said so.
-    pub left: Duration,
-    /// The store's revision at which it said so, which tells one warm-up from the next.
-    pub said: Revision,
+    /// The remaining time when the upstream reported the warm-up.
+    pub remaining: Duration,
+    /// The store revision of that report, which distinguishes one warm-up from the next.
+    pub revision: Revision,
 }
 
 impl WarmUp {
-    /// A warm-up of which `left` was left at the revision `said`; `None` if nothing was left.
+    /// Creates a warm-up; returns `None` if no time remains.
     #[must_use]
-    pub fn of(left: Duration, said: Revision) -> Option<Self> {
-        (!left.is_zero()).then_some(Self { left, said })
+    pub fn new(remaining: Duration, revision: Revision) -> Option<Self> {
+        (!remaining.is_zero()).then_some(Self { remaining, revision })
     }
 }
 
-/// An upstream as listed.
+/// An upstream as described by the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct UpstreamEntry {
-    /// Its name, which it may keep when its process starts again.
+    /// The name, which a restarted process may keep.
     pub name: UpstreamName,
-    /// Which life of it this is, see [`UpstreamEntry::life`].
+    /// The hash of the upstream instance, see [`UpstreamEntry::instance_hash`].
     pub hash: NameHash,
-    /// When its process started, in milliseconds since 1970 by its own clock; 0 if it does not say.
-    pub born: u64,
-    /// A hash of its pool and the software that it runs there.
+    /// The start time of the process in milliseconds since the Unix epoch by its own clock; 0 if unknown.
+    pub started_ms: u64,
+    /// The hash of the pool and the software that the upstream runs in it.
     pub software: NameHash,
-    /// Its pool.
+    /// The pool.
     pub pool: PoolName,
-    /// Where it is reached.
+    /// The address that requests are sent to.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// The data centre.
     pub data_centre: DataCentreName,
-    /// Requests that it works on at once.
+    /// The number of requests that the upstream processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new work.
     pub state: UpstreamState,
-    /// The store's revision at which it first appeared.
-    pub made: u64,
-    /// That it warms up, if it does.
+    /// The store revision at which the entry first appeared.
+    pub created_revision: u64,
+    /// The warm-up, if one is in progress.
     pub warm_up: Option<WarmUp>,
 }
 
 impl UpstreamEntry {
-    /// The hash that tells a life of an upstream from its others and from all other upstreams. A process that
-    /// starts again under its name holds and knows nothing of before: with a hash of its own, nothing that is
-    /// believed of the one before is believed of it.
+    /// Returns the hash that identifies one instance of an upstream. A process that restarts under the same
+    /// name has lost its state, so it gets a different hash and inherits nothing recorded about its
+    /// predecessor.
     #[must_use]
-    pub fn life(name: &UpstreamName, born: u64) -> NameHash {
-        match born {
+    pub fn instance_hash(name: &UpstreamName, started_ms: u64) -> NameHash {
+        match started_ms {
             0 => NameHash::of(name.as_str()),
-            // No name has this sign.
-            born => NameHash::of(&format!("{name}@{born}")),
+            // Names cannot contain `@`, so the hash input is unambiguous.
+            started_ms => NameHash::of(&format!("{name}@{started_ms}")),
         }
     }
 }
 
-/// A whole list, in the order of names.
+/// A complete list of upstreams in name order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct UpstreamList {
     /// The entries.
     pub entries: Vec<Arc<UpstreamEntry>>,
-    /// Data centres whose upstreams are to get no new work until the operators take that back, in the order of
-    /// names. They are part of the list so that they travel as surely and as fast as an upstream's leaving, and
-    /// are never seen apart from it.
+    /// The drained data centres in name order, whose upstreams get no new work until an operator ends the
+    /// drain. They are part of the list so that both are distributed together and stay consistent.
     pub drained: Vec<DataCentreName>,
 }
 
 /// An upstream as this router sees it.
 #[derive(Clone, Debug)]
-pub struct Listed {
-    /// Its entry.
+pub struct ListedUpstream {
+    /// The latest entry from the store.
     pub entry: Arc<UpstreamEntry>,
-    /// When this router first heard of it.
-    pub since: Instant,
-    /// When it vanished from the list, if it did.
-    pub vanished: Option<Instant>,
-    /// When it stops taking new work, or did: a vanished one that is doubted, when the doubt ends.
-    pub left: Option<Instant>,
-    /// Whether its data centre is drained.
+    /// When this router first saw the instance.
+    pub first_seen: Instant,
+    /// When the upstream disappeared from the list, if it did.
+    pub removed_at: Option<Instant>,
+    /// When the upstream stops accepting new work, or stopped. For one that disappeared from the list this
+    /// may be the end of the grace period.
+    pub stops_at: Option<Instant>,
+    /// Whether the data centre is drained.
     pub is_drained: bool,
-    /// When it is warm at the latest, if it was said to warm up: what was left then, counted from
-    /// when this router heard of it.
-    pub warm: Option<Instant>,
+    /// When a reported warm-up ends at the latest, counted from when this router received the report.
+    pub warm_at: Option<Instant>,
 }
 
-impl Listed {
-    /// Whether it takes new work.
+impl ListedUpstream {
+    /// Whether the upstream accepts new work.
     #[must_use]
-    pub fn takes_work(&self, now: Instant) -> bool {
-        self.left.is_none_or(|left| now < left) && !self.is_drained
+    pub fn accepts_work(&self, now: Instant) -> bool {
+        self.stops_at.is_none_or(|stops_at| now < stops_at) && !self.is_drained
     }
 
-    /// It takes no new work from then on, if not from earlier on.
-    fn leaves_at(&mut self, at: Instant) {
-        self.left = Some(self.left.map_or(at, |left| left.min(at)));
+    /// Makes the upstream stop accepting new work at the given time, unless it stops earlier.
+    fn stop_at(&mut self, at: Instant) {
+        self.stops_at = Some(self.stops_at.map_or(at, |stops_at| stops_at.min(at)));
     }
 
-    /// Whether it may still be warming up.
+    /// Whether the upstream may still be warming up.
     #[must_use]
-    pub fn is_warming(&self, now: Instant) -> bool {
-        self.warm.is_some_and(|warm| now < warm)
+    pub fn is_warming_up(&self, now: Instant) -> bool {
+        self.warm_at.is_some_and(|warm_at| now < warm_at)
     }
 }
 
-/// How long an upstream counts as warming up after its data centre was drained: it may have been restarted
-/// meanwhile, and what it says of its warm-up is up to two seconds old when it is read.
-const DOUBTED_AFTER_DRAIN: Duration = Duration::from_millis(2_500);
+/// How long an upstream counts as warming up after the drain of its data centre ends. It may have restarted
+/// in the meantime, and its reported warm-up may be outdated when it is read.
+const WARM_UP_AFTER_DRAIN: Duration = Duration::from_millis(2_500);
 
-/// How long after an upstream said that it leaves that is remembered though it is not listed: a page that is read late, or that
-/// another router read, may still have it. Those that leave end within seconds, and pages are read each second.
-const LEAVING_REMEMBERED: Duration = Duration::from_mins(10);
+/// How long the leave notice of an unlisted upstream is kept, since a delayed list, or one read by another
+/// router, may still contain the upstream.
+const LEAVING_RETENTION: Duration = Duration::from_mins(10);
 
-/// The times that the directory depends on.
+/// The time parameters of the [`Directory`].
 #[derive(Clone, Copy, Debug)]
 pub struct DirectoryLimits {
-    /// Evidence older than this means that the store was in trouble.
-    pub gap: Duration,
-    /// How long after the end of such trouble vanished entries are kept: what lives is listed again by then.
-    pub doubt: Duration,
-    /// How long upstreams that take no new work are remembered, for what they keep.
-    pub remember: Duration,
+    /// The longest time between confirmations of the list before the store counts as impaired.
+    pub max_staleness: Duration,
+    /// How long removed entries are kept after the store recovers; healthy upstreams are listed again by
+    /// then.
+    pub removal_grace: Duration,
+    /// How long upstreams that accept no new work stay in the directory, for the state that they hold.
+    pub retention: Duration,
 }
 
-/// All upstreams as this router sees them.
+/// All upstreams known to this router.
 #[derive(Debug)]
 pub struct Directory {
     limits: DirectoryLimits,
-    listed: Vec<Listed>,
-    /// The positions of those listed: each send looks one up, and a list that is taken in all of them, with everybody who
-    /// chooses waiting.
+    upstreams: Vec<ListedUpstream>,
+    /// The index of each instance in `upstreams`, to avoid linear searches per request and per applied
+    /// list.
     positions: FxHashMap<NameHash, usize>,
-    /// When upstreams said to this router that they leave.
-    leaving: FxHashMap<NameHash, Instant>,
-    evidence_seen: Option<Instant>,
-    doubt_until: Option<Instant>,
+    /// When upstreams notified this router that they are leaving.
+    leave_notices: FxHashMap<NameHash, Instant>,
+    confirmed_at: Option<Instant>,
+    grace_until: Option<Instant>,
 }
 
 impl Directory {
-    /// An empty directory.
+    /// Creates an empty directory.
     #[must_use]
     pub fn new(limits: DirectoryLimits) -> Self {
         Self {
             limits,
-            listed: Vec::new(),
+            upstreams: Vec::new(),
             positions: FxHashMap::default(),
-            leaving: FxHashMap::default(),
-            evidence_seen: None,
-            doubt_until: None,
+            leave_notices: FxHashMap::default(),
+            confirmed_at: None,
+            grace_until: None,
         }
     }
 
-    /// Notes that an upstream said itself that it leaves; `true` if that is news. It stands for as long as the upstream
-    /// lives: its own word is newer than any list, whoever read that.
-    pub fn leaves(&mut self, upstream: NameHash, now: Instant) -> bool {
-        if self.leaving.contains_key(&upstream) {
+    /// Records that an upstream announced to this router that it is leaving; returns `true` if that is new.
+    /// The notice is final for this instance and overrides all lists.
+    pub fn record_leaving(&mut self, upstream: NameHash, now: Instant) -> bool {
+        if self.leave_notices.contains_key(&upstream) {
             return false;
         }
-        self.leaving.insert(upstream, now);
+        self.leave_notices.insert(upstream, now);
         if let Some(position) = self.positions.get(&upstream) {
-            self.listed[*position].leaves_at(now);
+            self.upstreams[*position].stop_at(now);
         }
         true
     }
 
-    /// All upstreams, those that take no new work among them, in the order of names.
+    /// Returns all upstreams in name order, including those that accept no new work.
     #[must_use]
-    pub fn listed(&self) -> &[Listed] {
-        &self.listed
+    pub fn upstreams(&self) -> &[ListedUpstream] {
+        &self.upstreams
     }
 
-    /// Whether the upstream is listed, one that takes no new work among them.
+    /// Whether the directory contains an instance, even if it accepts no new work.
     #[must_use]
-    pub fn lists(&self, upstream: NameHash) -> bool {
+    pub fn contains(&self, upstream: NameHash) -> bool {
         self.positions.contains_key(&upstream)
     }
 
-    /// The upstream as it is listed, one that takes no new work too.
+    /// Returns the upstream with the given instance hash, even if it accepts no new work.
     #[must_use]
-    pub fn get(&self, upstream: NameHash) -> Option<&Listed> {
-        self.positions.get(&upstream).map(|position| &self.listed[*position])
+    pub fn get(&self, upstream: NameHash) -> Option<&ListedUpstream> {
+        self.positions.get(&upstream).map(|position| &self.upstreams[*position])
     }
 
-    /// Notes that the list was known to be current as of `as_of`; a gap since the last such evidence
-    /// casts doubt on entries that vanish soon after.
-    pub fn evidence(&mut self, as_of: Instant) {
-        let gap = self.evidence_seen.is_some_and(|seen| as_of.since(seen) > self.limits.gap);
-        if gap {
-            // From then on, however late it was heard of: a router that stood still while the store was well
-            // must not hold on to what left meanwhile for longer than that.
-            self.doubt_until = Some(as_of + self.limits.doubt);
+    /// Records that the list was confirmed as current at `as_of`. If the previous confirmation is too old,
+    /// entries that disappear soon after are kept for the grace period.
+    pub fn confirm_current(&mut self, as_of: Instant) {
+        let is_stale = self.confirmed_at.is_some_and(|last| as_of.since(last) > self.limits.max_staleness);
+        if is_stale {
+            // The grace period starts at `as_of` rather than now, so that a router that was paused while
+            // the store was healthy does not extend it.
+            self.grace_until = Some(as_of + self.limits.removal_grace);
         }
-        self.evidence_seen = Some(self.evidence_seen.map_or(as_of, |seen| seen.max(as_of)));
+        self.confirmed_at = Some(self.confirmed_at.map_or(as_of, |last| last.max(as_of)));
     }
 
-    /// Takes in a list; call [`Directory::evidence`] first.
-    pub fn take(&mut self, list: &UpstreamList, now: Instant) {
-        let kept_until = self.doubt_until.unwrap_or(now).max(now);
-        let before = std::mem::take(&mut self.listed).into_iter();
-        let mut before: FxHashMap<NameHash, Listed> =
-            before.map(|listed| (listed.entry.hash, listed)).collect();
+    /// Applies a list. [`Directory::confirm_current`] has to be called first.
+    pub fn apply(&mut self, list: &UpstreamList, now: Instant) {
+        let stop_time = self.grace_until.unwrap_or(now).max(now);
+        let previous = std::mem::take(&mut self.upstreams).into_iter();
+        let mut previous: FxHashMap<NameHash, ListedUpstream> =
+            previous.map(|listed| (listed.entry.hash, listed)).collect();
         for entry in &list.entries {
-            let known = before.remove(&entry.hash);
+            let existing = previous.remove(&entry.hash);
             let is_drained = list.drained.contains(&entry.data_centre);
-            let mut listed = renewed(known.as_ref(), entry, is_drained, now);
-            if let Some(said) = self.leaving.get(&entry.hash) {
-                listed.leaves_at(*said);
+            let mut listed = merge_entry(existing.as_ref(), entry, is_drained, now);
+            if let Some(noticed_at) = self.leave_notices.get(&entry.hash) {
+                listed.stop_at(*noticed_at);
             }
-            self.listed.push(listed);
+            self.upstreams.push(listed);
         }
-        // What is kept of an upstream that vanished is over once it is listed in another life.
+        // A removed instance is dropped once another instance is listed under its name.
         let names: FxHashSet<&UpstreamName> = list.entries.iter().map(|entry| &entry.name).collect();
-        for mut listed in before.into_values().filter(|listed| !names.contains(&listed.entry.name)) {
+        for mut listed in previous.into_values().filter(|listed| !names.contains(&listed.entry.name)) {
             listed.is_drained = list.drained.contains(&listed.entry.data_centre);
-            listed.vanished.get_or_insert(now);
-            listed.leaves_at(kept_until);
-            self.listed.push(listed);
+            listed.removed_at.get_or_insert(now);
+            listed.stop_at(stop_time);
+            self.upstreams.push(listed);
         }
-        self.listed.sort_by(|left, right| left.entry.name.cmp(&right.entry.name));
-        self.index();
+        self.upstreams.sort_by(|lhs, rhs| lhs.entry.name.cmp(&rhs.entry.name));
+        self.rebuild_positions();
         self.prune(now);
     }
 
-    /// Forgets vanished upstreams that are not remembered any more; `true` if there was one.
+    /// Drops removed upstreams after the retention period; returns `true` if there were any.
     pub fn prune(&mut self, now: Instant) -> bool {
         let limits = self.limits;
-        let before = self.listed.len();
-        self.listed.retain(|listed| {
-            listed.vanished.is_none() || listed.left.is_none_or(|left| now.since(left) < limits.remember)
+        let previous_len = self.upstreams.len();
+        self.upstreams.retain(|listed| {
+            listed.removed_at.is_none()
+                || listed.stops_at.is_none_or(|stops_at| now.since(stops_at) < limits.retention)
         });
-        let forgot = self.listed.len() != before;
-        if forgot {
-            self.index();
+        let has_removed = self.upstreams.len() != previous_len;
+        if has_removed {
+            self.rebuild_positions();
         }
-        let Self { positions, leaving, .. } = self;
-        leaving.retain(|upstream, said| {
-            positions.contains_key(upstream) || now.since(*said) < LEAVING_REMEMBERED
+        let Self { positions, leave_notices, .. } = self;
+        leave_notices.retain(|upstream, noticed_at| {
+            positions.contains_key(upstream) || now.since(*noticed_at) < LEAVING_RETENTION
         });
-        forgot
+        has_removed
     }
 
-    fn index(&mut self) {
-        let hashes = self.listed.iter().map(|listed| listed.entry.hash);
+    fn rebuild_positions(&mut self) {
+        let hashes = self.upstreams.iter().map(|listed| listed.entry.hash);
         self.positions = hashes.enumerate().map(|(position, hash)| (hash, position)).collect();
     }
 }
 
-fn renewed(known: Option<&Listed>, entry: &Arc<UpstreamEntry>, is_drained: bool, now: Instant) -> Listed {
-    let left = known.and_then(|known| known.left);
-    let is_said_before = |known: &&Listed| known.entry.warm_up == entry.warm_up;
-    let warm = match known.filter(is_said_before) {
-        Some(known) => known.warm,
-        None => entry.warm_up.map(|warm_up| now + warm_up.left),
+fn merge_entry(
+    existing: Option<&ListedUpstream>,
+    entry: &Arc<UpstreamEntry>,
+    is_drained: bool,
+    now: Instant,
+) -> ListedUpstream {
+    let stops_at = existing.and_then(|existing| existing.stops_at);
+    let is_same_warm_up = |existing: &&ListedUpstream| existing.entry.warm_up == entry.warm_up;
+    let warm_at = match existing.filter(is_same_warm_up) {
+        Some(existing) => existing.warm_at,
+        None => entry.warm_up.map(|warm_up| now + warm_up.remaining),
     };
-    let is_given_back = known.is_some_and(|known| known.is_drained) && !is_drained;
-    let warm = if is_given_back { warm.max(Some(now + DOUBTED_AFTER_DRAIN)) } else { warm };
-    let was_draining = known.is_some_and(|known| known.entry.state == UpstreamState::Draining);
-    Listed {
+    let is_undrained = existing.is_some_and(|existing| existing.is_drained) && !is_drained;
+    let warm_at = if is_undrained { warm_at.max(Some(now + WARM_UP_AFTER_DRAIN)) } else { warm_at };
+    let was_draining = existing.is_some_and(|existing| existing.entry.state == UpstreamState::Draining);
+    ListedUpstream {
         entry: Arc::clone(entry),
-        since: known.map_or(now, |known| known.since),
-        vanished: None,
-        left: match entry.state {
-            UpstreamState::Draining => left.or(Some(now)),
-            // Leaving wins over joining: an upstream that said it leaves does not come back.
-            UpstreamState::Ready => left.filter(|_| was_draining),
+        first_seen: existing.map_or(now, |existing| existing.first_seen),
+        removed_at: None,
+        stops_at: match entry.state {
+            UpstreamState::Draining => stops_at.or(Some(now)),
+            // Draining is final for an instance: it does not become ready again.
+            UpstreamState::Ready => stops_at.filter(|_| was_draining),
         },
         is_drained,
-        warm,
+        warm_at,
     }
 }
--- a/crates/bendhinge_fleet/src/lib.rs
+++ b/crates/bendhinge_fleet/src/lib.rs
@@ -8,40 +8,42 @@
 //! * [`Loads`] is how many requests are at each upstream.
 //! * [`ListHistory`] tells a list of upstreams as changes, [`FetchPlan`] from whom it is fetched.
 //! * [`Relearning`] says when a router that has just started asks the upstreams what they keep.
-//! * [`Judge`] is which upstreams answer, by their own answers and what others saw.
-//! * [`Rests`] is which upstreams asked to be spared, and until when.
-//! * [`Evidence`] is which upstreams answer nobody, by what all routers saw.
+//! * [`OutlierDetector`] is which upstreams answer, by their own answers and what others saw.
+//! * [`RequestedBackoffs`] is which upstreams asked to be spared, and until when.
+//! * [`FailureDetector`] is which upstreams answer nobody, by what all routers saw.
 //! * [`Quarantine`] is which requests crash the upstreams that run them.
 //!
 //! All of it is pure: explicit state, an explicit clock, no input or output.
 //! `docs/design/PLATFORM.md` says what was weighed.
 
+mod backoff;
 mod belief;
 mod directory;
-mod evidence;
+mod failure_detector;
 mod fetch;
-mod judge;
 mod lists;
 mod loads;
 mod news;
+mod outlier_detector;
 mod peers;
 mod quarantine;
 mod reading;
 mod relearning;
-mod rests;
 mod roster;
 
+pub use backoff::{MAX_BACKOFF, RequestedBackoffs};
 pub use belief::{Belief, Held, Offer, Revision, Version};
-pub use directory::{Directory, DirectoryLimits, Listed, UpstreamEntry, UpstreamList, UpstreamState, WarmUp};
-pub use evidence::{Doubt, Evidence, Verdict, Witness};
+pub use directory::{
+    Directory, DirectoryLimits, ListedUpstream, UpstreamEntry, UpstreamList, UpstreamState, WarmUp,
+};
+pub use failure_detector::{FailureDetector, FailureEvidence, FailureReport, SuspectChange};
 pub use fetch::{FetchPlan, Holder};
-pub use judge::{Judge, JudgeLimits, Standing, UpstreamFailure};
 pub use lists::{ListChanges, ListHistory, ListTold};
 pub use loads::{HighLoads, ListLoads, LoadSaid, LoadStates, Loads};
 pub use news::{LearnedFrom, NewsLife, NewsLimits, NewsLog, NewsPosition, NewsTold};
+pub use outlier_detector::{OutlierDetector, OutlierLimits, UpstreamFailure, UpstreamHealth};
 pub use peers::{PeerSaid, PeerState, PeerStates};
-pub use quarantine::{Crash, MOST_CRASHES, Permission, Quarantine, Suspicion, UnderWay};
+pub use quarantine::{Crash, CrashHistory, InFlightSends, MAX_CRASHES, Quarantine, SendPermission};
 pub use reading::{ReadingLimits, ReadingPlan};
 pub use relearning::{RelearnLimits, RelearnStep, RelearnView, Relearning};
-pub use rests::{LONGEST_REST, Rests};
 pub use roster::{Contact, Heard, Member, MemberStates, Origin, Reach, Roster, RosterDigest, RosterLimits};
--- a/crates/bendhinge_fleet/src/quarantine.rs
+++ b/crates/bendhinge_fleet/src/quarantine.rs
@@ -1,13 +1,15 @@
-//! Requests under which upstreams crash, and when one is sent no more.
+//! Quarantine of requests that crash the upstreams that process them.
 //!
-//! Such a request comes again, as a new try at any router, and would end one upstream after the other, with all that
-//! they run. So each router tells the others under which requests an upstream crashed, and, from the second crash on,
-//! that it sends one: crashes and sends under way together are never more than [`MOST_CRASHES`]. What the
-//! others know is a moment old, so sends that begin within that moment come on top.
+//! A client or router that retries such a request would crash one upstream after another, along with
+//! everything else that runs there. Each router therefore reports to its peers the requests under which an
+//! upstream crashed and, from the second crash on, its own sends of them. The number of crashes plus sends
+//! in flight never exceeds [`MAX_CRASHES`], except for sends that start within the propagation delay of
+//! these reports.
 //!
-//! Whatever ran beside such a request is lost with it and is suspected, too. A whole answer ends a suspicion, and a
-//! crash that a request under quarantine was in counts against no other that was in fewer. When a busy upstream
-//! crashes, a hundred requests are suspected at once: of a single crash no more is told than once that it was.
+//! Requests that ran on an upstream when it crashed are recorded too. A complete response clears a request,
+//! and a crash that is attributed to a quarantined request does not count against requests with fewer
+//! crashes. Requests with a single crash are reported only once, since the crash of a busy upstream
+//! involves many of them.
 
 use std::collections::hash_map::Entry;
 use std::time::Duration;
@@ -17,392 +19,406 @@
 
 use crate::LearnedFrom;
 
-/// Upstreams that may crash under one request. One crash is chance: all that ran there was lost with it. After the
-/// third in a row without an answer, another upstream is more than its answer is worth.
-pub const MOST_CRASHES: usize = 3;
-/// How long a request is kept from upstreams after the third crash; each further one doubles it. A request that
-/// comes each second then ends one upstream in so long, not one a second.
-const STANDS_FOR: Duration = Duration::from_mins(10);
-/// The longest, doubled or not.
-const STANDS_AT_MOST: Duration = Duration::from_hours(24);
-/// How long one or two crashes are held against a request that does not come again.
-const SUSPECTED_FOR: Duration = Duration::from_mins(10);
-/// How long a send of a suspected request counts as under way without word of its end: its router may have
-/// crashed or be cut off. Longer than nearly all requests take.
-const UNDER_WAY_FOR: Duration = Duration::from_secs(10);
-/// Crashes from which on others are told of each send. From the first on, one request would crash 3.07 upstreams
-/// on average in place of 3.25 (nine routers, virtual time), at twice the messages, of which an overloaded fleet has
-/// most when a part of its pool crashes.
-const WATCHED_FROM: usize = 2;
-/// Crashes of one request that are remembered: the quarantine grows no longer by more.
-const MOST_REMEMBERED: usize = 12;
-/// Suspected requests that are remembered. When seven upstreams crash that run a hundred requests each, 800 are
-/// suspected; an entry takes some 250 bytes (reckoned).
-const MOST_SUSPECTED: usize = 1_024;
-/// Crashes from which on a request is told of to a router whose knowledge differs, however old they are: of one
-/// alone, a router that missed it does not send more often than it may after the next.
-const ALWAYS_TOLD_FROM: usize = 2;
-
-/// The end of an upstream's process under a request.
+/// The number of upstream crashes after which a request is quarantined.
+pub const MAX_CRASHES: usize = 3;
+/// The quarantine period after [`MAX_CRASHES`] crashes. Each further crash doubles it.
+const BASE_QUARANTINE: Duration = Duration::from_mins(10);
+/// The upper bound of the quarantine period.
+const MAX_QUARANTINE: Duration = Duration::from_hours(24);
+/// How long a crash count below the quarantine limit is kept after the last crash.
+const SUSPICION_TTL: Duration = Duration::from_mins(10);
+/// How long a reported send counts as in flight if its end is not reported, since the router that sent it
+/// may have crashed or be unreachable.
+const IN_FLIGHT_TTL: Duration = Duration::from_secs(10);
+/// The crash count from which on sends are reported to other routers. Reporting after the first crash would
+/// prevent few crashes and double the number of messages during an overload.
+const TRACKING_THRESHOLD: usize = 2;
+/// The maximum number of crashes that are stored per request.
+const MAX_RECORDED_CRASHES: usize = 12;
+/// The maximum number of requests in the quarantine, enough for several busy upstreams that crash at once.
+const MAX_REQUESTS: usize = 1_024;
+/// The crash count from which on a request is part of the digest and is sent to routers whose digest
+/// differs.
+const SYNC_THRESHOLD: usize = 2;
+
+/// A crash of an upstream process while it processed a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The upstream, in the life that ended.
+    /// The instance of the upstream that crashed.
     pub upstream: NameHash,
-    /// The software that it ran.
+    /// The software that the upstream ran.
     pub software: NameHash,
-    /// When it was noticed.
+    /// When the crash was detected.
     pub at: Instant,
 }
 
-/// A router's sends of a suspected request.
+/// The number of sends of a request that a router has in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UnderWay {
-    /// Which router, by a hash of its address.
+pub struct InFlightSends {
+    /// The hash of the router's address.
     pub router: NameHash,
-    /// How many; 0 says that all have ended.
-    pub sends: u8,
-    /// When the last of them began or ended.
+    /// The number of sends in flight; 0 once all have ended.
+    pub count: u8,
+    /// When the last of them started or ended.
     pub at: Instant,
 }
 
-/// What is known of a suspected request.
+/// The crashes, responses and sends in flight of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Suspicion {
-    /// The crashes under it, in the order in which they were heard of.
+pub struct CrashHistory {
+    /// The crashes, in the order in which they were received.
     pub crashes: Vec<Crash>,
-    /// When an upstream last gave a whole answer to it, which ends what was held against it until then.
-    pub answered: Option<Instant>,
-    /// Who sends it.
-    pub under_way: Vec<UnderWay>,
+    /// When an upstream last sent a complete response, which clears all earlier crashes.
+    pub last_response: Option<Instant>,
+    /// The sends in flight, by router.
+    pub in_flight: Vec<InFlightSends>,
 }
 
-impl Suspicion {
-    /// The crashes since the last answer.
-    fn unanswered(&self) -> impl Iterator<Item = &Crash> {
-        self.crashes.iter().filter(|crash| self.answered.is_none_or(|answered| crash.at > answered))
+impl CrashHistory {
+    fn crashes_since_response(&self) -> impl Iterator<Item = &Crash> {
+        self.crashes
+            .iter()
+            .filter(|crash| self.last_response.is_none_or(|last_response| crash.at > last_response))
     }
 
-    /// How many they are.
-    fn strength(&self) -> usize {
-        self.unanswered().count()
+    fn crash_count(&self) -> usize {
+        self.crashes_since_response().count()
     }
 
-    fn last_crash(&self) -> Option<Instant> {
-        self.unanswered().map(|crash| crash.at).max()
+    fn last_crash_at(&self) -> Option<Instant> {
+        self.crashes_since_response().map(|crash| crash.at).max()
     }
 
-    /// What it adds to the digest of what is always told; 0 of what is not.
+    /// Returns the contribution to the digest, or 0 below [`SYNC_THRESHOLD`].
     fn digest(&self, request: RequestDigest) -> u64 {
-        if self.strength() < ALWAYS_TOLD_FROM {
+        if self.crash_count() < SYNC_THRESHOLD {
             return 0;
         }
-        self.unanswered().fold(0, |digest, crash| digest ^ mixed(request, crash.upstream))
+        self.crashes_since_response().fold(0, |digest, crash| digest ^ crash_digest(request, crash.upstream))
     }
 
-    fn is_crashed_by(&self, upstream: NameHash) -> bool {
-        self.unanswered().any(|crash| crash.upstream == upstream)
+    fn contains_crash_of(&self, upstream: NameHash) -> bool {
+        self.crashes_since_response().any(|crash| crash.upstream == upstream)
     }
 
-    fn sends_under_way(&self, now: Instant) -> usize {
-        let fresh = self.under_way.iter().filter(|sending| now.since(sending.at) < UNDER_WAY_FOR);
-        fresh.map(|sending| usize::from(sending.sends)).sum()
+    fn in_flight_count(&self, now: Instant) -> usize {
+        let recent = self.in_flight.iter().filter(|entry| now.since(entry.at) < IN_FLIGHT_TTL);
+        recent.map(|entry| usize::from(entry.count)).sum()
     }
 
-    /// Adds a crash; `false` if that upstream's is known.
-    fn add(&mut self, crash: Crash) -> bool {
-        if self.crashes.iter().any(|known| known.upstream == crash.upstream) {
+    /// Adds a crash; returns `false` if the crash of this upstream instance is already recorded.
+    fn add_crash(&mut self, crash: Crash) -> bool {
+        if self.crashes.iter().any(|entry| entry.upstream == crash.upstream) {
             return false;
         }
-        if self.crashes.len() == MOST_REMEMBERED {
+        if self.crashes.len() == MAX_RECORDED_CRASHES {
             self.crashes.remove(0);
         }
         self.crashes.push(crash);
         true
     }
 
-    /// The life in which an upstream was to which it was sent at `sent`. One that had crashed by then was in
-    /// another, though it may keep its name and the list may not tell of that yet.
-    fn life_at(&self, upstream: NameHash, sent: Instant) -> NameHash {
-        let mut life = upstream;
-        while self.crashes.iter().any(|known| known.upstream == life && known.at < sent) {
-            life = NameHash(xxhash_rust::xxh3::xxh3_64(&life.0.to_le_bytes()));
+    /// Returns the upstream instance to which a request was sent at `sent`. An instance that crashed before
+    /// `sent` has been replaced under the same name, although the upstream list may not show that yet.
+    fn instance_at(&self, upstream: NameHash, sent: Instant) -> NameHash {
+        let mut instance = upstream;
+        while self.crashes.iter().any(|entry| entry.upstream == instance && entry.at < sent) {
+            instance = NameHash(xxhash_rust::xxh3::xxh3_64(&instance.0.to_le_bytes()));
         }
-        life
-    }
-
-    /// Takes in what a router said of its sends; `true` if that changes their number.
-    fn note_sends(&mut self, said: UnderWay) -> bool {
-        // What counts no more is not told on for ever.
-        self.under_way.retain(|known| said.at.since(known.at) < UNDER_WAY_FOR);
-        match self.under_way.iter_mut().find(|known| known.router == said.router) {
-            Some(known) if known.at >= said.at => false,
-            Some(known) => {
-                let changes = known.sends != said.sends;
-                *known = said;
-                changes
+        instance
+    }
+
+    /// Records the sends that a router reports; returns `true` if their number changed.
+    fn record_sends(&mut self, reported: InFlightSends) -> bool {
+        // Expired entries are dropped so that they are not forwarded indefinitely.
+        self.in_flight.retain(|entry| reported.at.since(entry.at) < IN_FLIGHT_TTL);
+        match self.in_flight.iter_mut().find(|entry| entry.router == reported.router) {
+            Some(entry) if entry.at >= reported.at => false,
+            Some(entry) => {
+                let is_changed = entry.count != reported.count;
+                *entry = reported;
+                is_changed
             }
             None => {
-                self.under_way.push(said);
-                said.sends > 0
+                self.in_flight.push(reported);
+                reported.count > 0
             }
         }
     }
 
-    /// What is left at `now` of the time for which it is kept from upstreams.
-    fn stands_for(&self, strength: usize, now: Instant) -> Option<Duration> {
-        let further = strength.checked_sub(MOST_CRASHES)?;
-        let doublings = u32::try_from(further).unwrap_or(u32::MAX).min(16);
-        let whole = STANDS_FOR.saturating_mul(1 << doublings).min(STANDS_AT_MOST);
-        let passed = now.since(self.last_crash()?);
-        whole.checked_sub(passed).filter(|left| !left.is_zero())
+    /// Returns the remaining quarantine period, if any.
+    fn quarantine_remaining(&self, crash_count: usize, now: Instant) -> Option<Duration> {
+        let repeats = crash_count.checked_sub(MAX_CRASHES)?;
+        let doublings = u32::try_from(repeats).unwrap_or(u32::MAX).min(16);
+        let period = BASE_QUARANTINE.saturating_mul(1 << doublings).min(MAX_QUARANTINE);
+        let elapsed = now.since(self.last_crash_at()?);
+        period.checked_sub(elapsed).filter(|remaining| !remaining.is_zero())
     }
 
-    /// Whether it need not be remembered any more. A quarantine that has ended is, for days: the next crash is held
-    /// against the request with all before.
-    fn is_over(&self, now: Instant) -> bool {
-        let Some(last) = self.last_crash() else {
-            // What others may still tell of it is known to be over.
-            return self.answered.is_none_or(|answered| now.since(answered) > SUSPECTED_FOR);
+    /// Whether the history can be removed. It outlives the quarantine so that a further crash doubles the
+    /// period.
+    fn is_expired(&self, now: Instant) -> bool {
+        let Some(last) = self.last_crash_at() else {
+            // Kept for a while so that delayed reports of cleared crashes are recognised.
+            return self.last_response.is_none_or(|last_response| now.since(last_response) > SUSPICION_TTL);
         };
-        let is_old = now.since(last) > SUSPECTED_FOR;
-        is_old && (self.strength() < MOST_CRASHES || now.since(last) > 2 * STANDS_AT_MOST)
+        let is_old = now.since(last) > SUSPICION_TTL;
+        is_old && (self.crash_count() < MAX_CRASHES || now.since(last) > 2 * MAX_QUARANTINE)
     }
 }
 
-/// Whether a request may be sent.
+/// Whether a request may be sent to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Permission {
-    /// Nothing is held against it, or one crash.
-    Free,
-    /// It may be, and others are to be told.
-    Watched,
-    /// As many sends of it are under way as there may be. They end within a request's time.
-    Later,
-    /// It is kept from upstreams, for that long.
+pub enum SendPermission {
+    /// The request may be sent; it has at most one crash.
+    Allowed,
+    /// The request may be sent, and the send has to be reported to other routers.
+    Tracked,
+    /// The maximum number of sends is in flight; a retry after a typical request duration may succeed.
+    Deferred,
+    /// The request is quarantined for the given duration.
     Quarantined(Duration),
 }
 
-/// A suspicion with how it changed last.
+/// A crash history and its last change.
 #[derive(Debug)]
-struct Held {
-    suspicion: Suspicion,
-    changed: Change,
+struct TrackedRequest {
+    history: CrashHistory,
+    last_change: Change,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Change {
     at: Instant,
-    /// Who told of it.
-    by: LearnedFrom,
+    source: LearnedFrom,
 }
 
-/// The suspected requests as one router knows them.
+/// One router's view of the requests under which upstreams crashed.
 #[derive(Debug)]
 pub struct Quarantine {
-    /// This router, as others know it.
-    own: NameHash,
-    held: FxHashMap<RequestDigest, Held>,
-    /// How many of them have each hint.
-    hints: FxHashMap<RequestHint, u32>,
-    /// Of all that is always told.
+    /// The address hash of this router.
+    local_router: NameHash,
+    requests: FxHashMap<RequestDigest, TrackedRequest>,
+    /// The number of tracked requests per hint.
+    hint_counts: FxHashMap<RequestHint, u32>,
+    /// The combined digest of all histories that reached [`SYNC_THRESHOLD`].
     digest: u64,
-    /// The software that upstreams run, once that is known: what crashed another is not held against it.
-    running: Option<FxHashSet<NameHash>>,
+    /// The software that upstreams run, if known. Crashes of other software do not count.
+    running_software: Option<FxHashSet<NameHash>>,
 }
 
 impl Quarantine {
-    /// No suspicions yet, of the router that others know as `own`.
+    /// Creates an empty quarantine for the router with the given address hash.
     #[must_use]
-    pub fn new(own: NameHash) -> Self {
-        Self { own, held: FxHashMap::default(), hints: FxHashMap::default(), digest: 0, running: None }
+    pub fn new(local_router: NameHash) -> Self {
+        Self {
+            local_router,
+            requests: FxHashMap::default(),
+            hint_counts: FxHashMap::default(),
+            digest: 0,
+            running_software: None,
+        }
     }
 
-    /// Whether something may be known of a request: of another it is not worth to look at its body.
+    /// Whether a request with this hint may be tracked. If not, the request body need not be hashed.
     #[must_use]
-    pub fn may_know(&self, hint: RequestHint) -> bool {
-        self.hints.contains_key(&hint)
+    pub fn may_contain(&self, hint: RequestHint) -> bool {
+        self.hint_counts.contains_key(&hint)
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether no request is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.requests.is_empty()
     }
 
-    /// Whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     #[must_use]
-    pub fn permission(&self, request: RequestDigest, now: Instant) -> Permission {
-        let Some(Held { suspicion, .. }) = self.held.get(&request) else { return Permission::Free };
-        let counted = self.counted(suspicion);
-        if counted < WATCHED_FROM {
-            return Permission::Free;
+    pub fn permission(&self, request: RequestDigest, now: Instant) -> SendPermission {
+        let Some(TrackedRequest { history, .. }) = self.requests.get(&request) else {
+            return SendPermission::Allowed;
+        };
+        let counted_crashes = self.counted_crashes(history);
+        if counted_crashes < TRACKING_THRESHOLD {
+            return SendPermission::Allowed;
         }
-        if let Some(left) = suspicion.stands_for(counted, now) {
-            return Permission::Quarantined(left);
+        if let Some(remaining) = history.quarantine_remaining(counted_crashes, now) {
+            return SendPermission::Quarantined(remaining);
         }
-        // After a quarantine it may be tried once at a time.
-        let crashes = counted.min(MOST_CRASHES - 1);
-        if crashes + suspicion.sends_under_way(now) < MOST_CRASHES {
-            Permission::Watched
+        // After a quarantine, one send at a time is allowed.
+        let crashes = counted_crashes.min(MAX_CRASHES - 1);
+        if crashes + history.in_flight_count(now) < MAX_CRASHES {
+            SendPermission::Tracked
         } else {
-            Permission::Later
+            SendPermission::Deferred
         }
     }
 
-    /// How many crashes are held against a request.
+    /// Returns the number of crashes that count against a request.
     #[must_use]
-    pub fn crashes_of(&self, request: RequestDigest) -> usize {
-        self.held.get(&request).map_or(0, |held| self.counted(&held.suspicion))
+    pub fn crash_count(&self, request: RequestDigest) -> usize {
+        self.requests.get(&request).map_or(0, |tracked| self.counted_crashes(&tracked.history))
     }
 
-    fn counted(&self, suspicion: &Suspicion) -> usize {
-        let strength = suspicion.strength();
-        if strength < WATCHED_FROM {
-            // It makes no difference, and nearly all that are suspected are so once.
-            return strength;
+    fn counted_crashes(&self, history: &CrashHistory) -> usize {
+        let crash_count = history.crash_count();
+        if crash_count < TRACKING_THRESHOLD {
+            // Skips the scan of other requests: the result cannot matter, and most requests have one crash.
+            return crash_count;
         }
-        let counts = |crash: &&Crash| {
-            let is_run = self.running.as_ref().is_none_or(|running| running.contains(&crash.software));
-            is_run && !self.is_explained(crash.upstream, strength)
+        let is_counted = |crash: &&Crash| {
+            let is_software_running = self
+                .running_software
+                .as_ref()
+                .is_none_or(|running_software| running_software.contains(&crash.software));
+            is_software_running && !self.is_explained_by_quarantine(crash.upstream, crash_count)
         };
-        suspicion.unanswered().filter(counts).count()
+        history.crashes_since_response().filter(is_counted).count()
     }
 
-    /// Whether an upstream crashed under a request that is under quarantine and was in more crashes than
-    /// `strength`, that of another request that it ran.
-    fn is_explained(&self, upstream: NameHash, strength: usize) -> bool {
-        self.held.values().any(|Held { suspicion, .. }| {
-            let other = suspicion.strength();
-            other >= MOST_CRASHES && other > strength && suspicion.is_crashed_by(upstream)
+    /// Whether the crash of an upstream is attributed to a quarantined request with more than `crash_count`
+    /// crashes.
+    fn is_explained_by_quarantine(&self, upstream: NameHash, crash_count: usize) -> bool {
+        self.requests.values().any(|TrackedRequest { history, .. }| {
+            let other = history.crash_count();
+            other >= MAX_CRASHES && other > crash_count && history.contains_crash_of(upstream)
         })
     }
 
-    /// Notes that this router begins a send of a suspected request.
-    pub fn begins(&mut self, request: RequestDigest, now: Instant) {
-        self.change_own_sends(request, now, |sends| sends.saturating_add(1));
+    /// Records that this router starts to send a tracked request.
+    pub fn record_send_start(&mut self, request: RequestDigest, now: Instant) {
+        self.update_own_sends(request, now, |count| count.saturating_add(1));
     }
 
-    /// Notes that such a send has ended, whatever came of it.
-    pub fn ends(&mut self, request: RequestDigest, now: Instant) {
-        self.change_own_sends(request, now, |sends| sends.saturating_sub(1));
+    /// Records that a send of a tracked request has ended, with any result.
+    pub fn record_send_end(&mut self, request: RequestDigest, now: Instant) {
+        self.update_own_sends(request, now, |count| count.saturating_sub(1));
     }
 
-    fn change_own_sends(&mut self, request: RequestDigest, now: Instant, change: impl Fn(u8) -> u8) {
-        let router = self.own;
-        self.change(request, LearnedFrom::Itself, now, |suspicion| {
-            let own = suspicion.under_way.iter().find(|known| known.router == router);
-            let sends = change(own.map_or(0, |own| own.sends));
-            // Two changes within one tick of the clock are in their order.
-            let at = own.map_or(now, |own| now.max(own.at + Duration::from_micros(1)));
-            suspicion.note_sends(UnderWay { router, sends, at })
+    fn update_own_sends(&mut self, request: RequestDigest, now: Instant, apply: impl Fn(u8) -> u8) {
+        let router = self.local_router;
+        self.update(request, LearnedFrom::Itself, now, |history| {
+            let existing = history.in_flight.iter().find(|entry| entry.router == router);
+            let count = apply(existing.map_or(0, |existing| existing.count));
+            // Keeps two changes within one clock tick in order.
+            let at = existing.map_or(now, |existing| now.max(existing.at + Duration::from_micros(1)));
+            history.record_sends(InFlightSends { router, count, at })
         });
     }
 
-    /// Notes that an upstream crashed under a request that this router had sent at `sent`; `false` if it was
-    /// known, or is one of too many.
-    pub fn crashed(&mut self, request: RequestDigest, crash: Crash, sent: Instant, now: Instant) -> bool {
-        self.take(request, LearnedFrom::Itself, now, |suspicion| {
-            let upstream = suspicion.life_at(crash.upstream, sent);
-            suspicion.add(Crash { upstream, ..crash })
+    /// Records that an upstream crashed while it processed a request that this router sent at `sent`.
+    /// Returns `false` if the crash is already recorded or the quarantine is full.
+    pub fn record_crash(
+        &mut self,
+        request: RequestDigest,
+        crash: Crash,
+        sent: Instant,
+        now: Instant,
+    ) -> bool {
+        self.update_or_insert(request, LearnedFrom::Itself, now, |history| {
+            let upstream = history.instance_at(crash.upstream, sent);
+            history.add_crash(Crash { upstream, ..crash })
         })
     }
 
-    /// Notes that an upstream gave a whole answer to a request; `true` if that ends a suspicion.
-    pub fn answered(&mut self, request: RequestDigest, now: Instant) -> bool {
-        self.change(request, LearnedFrom::Itself, now, |suspicion| {
-            let was_suspected = suspicion.strength() > 0;
-            suspicion.answered = Some(now);
-            was_suspected
+    /// Records a complete response to a request; returns `true` if that cleared any crash.
+    pub fn record_response(&mut self, request: RequestDigest, now: Instant) -> bool {
+        self.update(request, LearnedFrom::Itself, now, |history| {
+            let had_crashes = history.crash_count() > 0;
+            history.last_response = Some(now);
+            had_crashes
         })
     }
 
-    /// Takes in what another router, `from`, knows of a request; `true` if that changes what is held against it.
-    pub fn hear(
+    /// Merges the history that another router reports; returns `true` if anything changed.
+    pub fn merge(
         &mut self,
         request: RequestDigest,
-        heard: &Suspicion,
-        from: LearnedFrom,
+        received: &CrashHistory,
+        sender: LearnedFrom,
         now: Instant,
     ) -> bool {
-        let own = self.own;
-        if heard.is_over(now) && !self.held.contains_key(&request) {
+        let local_router = self.local_router;
+        if received.is_expired(now) && !self.requests.contains_key(&request) {
             return false;
         }
-        self.take(request, from, now, |suspicion| {
-            let before = suspicion.strength();
-            suspicion.answered = suspicion.answered.max(heard.answered);
-            let mut changes = false;
-            for crash in heard.unanswered() {
-                changes |= suspicion.add(*crash);
+        self.update_or_insert(request, sender, now, |history| {
+            let before = history.crash_count();
+            history.last_response = history.last_response.max(received.last_response);
+            let mut is_changed = false;
+            for crash in received.crashes_since_response() {
+                is_changed |= history.add_crash(*crash);
             }
-            for said in &heard.under_way {
-                changes |= said.router != own && suspicion.note_sends(*said);
+            for reported in &received.in_flight {
+                is_changed |= reported.router != local_router && history.record_sends(*reported);
             }
-            changes || suspicion.strength() != before
+            is_changed || history.crash_count() != before
         })
     }
 
-    /// Makes a change to what is known of a request; `false` if nothing is, or if it is none.
-    fn change(
+    /// Updates the history of a tracked request; returns `false` if it is not tracked or did not change.
+    fn update(
         &mut self,
         request: RequestDigest,
-        by: LearnedFrom,
+        source: LearnedFrom,
         now: Instant,
-        change: impl FnOnce(&mut Suspicion) -> bool,
+        apply: impl FnOnce(&mut CrashHistory) -> bool,
     ) -> bool {
-        let Some(held) = self.held.get_mut(&request) else { return false };
-        let before = held.suspicion.digest(request);
-        let changes = change(&mut held.suspicion);
-        self.digest ^= before ^ held.suspicion.digest(request);
-        if changes {
-            held.changed = Change { at: now, by };
+        let Some(tracked) = self.requests.get_mut(&request) else { return false };
+        let before = tracked.history.digest(request);
+        let is_changed = apply(&mut tracked.history);
+        self.digest ^= before ^ tracked.history.digest(request);
+        if is_changed {
+            tracked.last_change = Change { at: now, source };
         }
-        changes
+        is_changed
     }
 
-    /// The same, of a request of which nothing may be known yet.
-    fn take(
+    /// Like [`Self::update`], but starts to track the request if necessary.
+    fn update_or_insert(
         &mut self,
         request: RequestDigest,
-        by: LearnedFrom,
+        source: LearnedFrom,
         now: Instant,
-        change: impl FnOnce(&mut Suspicion) -> bool,
+        apply: impl FnOnce(&mut CrashHistory) -> bool,
     ) -> bool {
-        if self.held.contains_key(&request) {
-            return self.change(request, by, now, change);
+        if self.requests.contains_key(&request) {
+            return self.update(request, source, now, apply);
         }
-        let mut suspicion = Suspicion::default();
-        let changes = change(&mut suspicion);
-        if !changes || !self.has_room_for(&suspicion) {
+        let mut history = CrashHistory::default();
+        let is_changed = apply(&mut history);
+        if !is_changed || !self.make_room_for(&history) {
             return false;
         }
-        self.digest ^= suspicion.digest(request);
-        self.held.insert(request, Held { suspicion, changed: Change { at: now, by } });
-        *self.hints.entry(request.hint()).or_default() += 1;
+        self.digest ^= history.digest(request);
+        self.requests.insert(request, TrackedRequest { history, last_change: Change { at: now, source } });
+        *self.hint_counts.entry(request.hint()).or_default() += 1;
         true
     }
 
-    /// Whether there is room for one more, or is made by forgetting a weaker one. One of the same strength gives way to
-    /// none: routers that forget what they are told of again would tell each other of it for ever.
-    fn has_room_for(&mut self, suspicion: &Suspicion) -> bool {
-        if self.held.len() < MOST_SUSPECTED {
+    /// Evicts the lowest-ranked request if the quarantine is full; returns `false` if there is no room.
+    /// Requests with equal crash counts do not evict each other: routers would send each other the evicted
+    /// ones again and again.
+    fn make_room_for(&mut self, history: &CrashHistory) -> bool {
+        if self.requests.len() < MAX_REQUESTS {
             return true;
         }
-        let weight = |held: &Held| (held.suspicion.strength(), held.suspicion.last_crash());
-        let weakest = self.held.iter().min_by_key(|(_, held)| weight(held));
-        let Some((request, held)) = weakest else { return true };
-        if held.suspicion.strength() >= suspicion.strength() {
+        let eviction_rank =
+            |tracked: &TrackedRequest| (tracked.history.crash_count(), tracked.history.last_crash_at());
+        let lowest_ranked = self.requests.iter().min_by_key(|(_, tracked)| eviction_rank(tracked));
+        let Some((request, tracked)) = lowest_ranked else { return true };
+        if tracked.history.crash_count() >= history.crash_count() {
             return false;
         }
         let request = *request;
-        self.forget(request);
+        self.remove(request);
         true
     }
 
-    fn forget(&mut self, request: RequestDigest) {
-        let Some(held) = self.held.remove(&request) else { return };
-        self.digest ^= held.suspicion.digest(request);
-        if let Entry::Occupied(mut hint) = self.hints.entry(request.hint()) {
+    fn remove(&mut self, request: RequestDigest) {
+        let Some(tracked) = self.requests.remove(&request) else { return };
+        self.digest ^= tracked.history.digest(request);
+        if let Entry::Occupied(mut hint) = self.hint_counts.entry(request.hint()) {
             *hint.get_mut() -= 1;
             if *hint.get() == 0 {
                 hint.remove();
@@ -410,62 +426,66 @@
         }
     }
 
-    /// What changed after `since`, to tell `listener` at once: what this router saw itself, and what it has from
-    /// others if it `tells_on`.
-    pub fn changes(
+    /// Returns the histories that changed after `since` and that `recipient` has not reported itself:
+    /// changes that this router observed and, if it `forwards`, those received from others.
+    pub fn changes_for(
         &self,
-        listener: LearnedFrom,
+        recipient: LearnedFrom,
         since: Instant,
-        tells_on: bool,
-    ) -> impl Iterator<Item = (RequestDigest, &Suspicion)> {
-        let is_told = move |held: &Held| {
-            let Change { at, by } = held.changed;
-            at > since && by != listener && (tells_on || by == LearnedFrom::Itself)
+        forwards: bool,
+    ) -> impl Iterator<Item = (RequestDigest, &CrashHistory)> {
+        let is_sent = move |tracked: &TrackedRequest| {
+            let Change { at, source } = tracked.last_change;
+            at > since && source != recipient && (forwards || source == LearnedFrom::Itself)
         };
-        self.held().filter(move |(request, _)| self.held.get(request).is_some_and(is_told))
+        self.histories().filter(move |(request, _)| self.requests.get(request).is_some_and(is_sent))
     }
 
-    /// What to tell a router whose digest differs: all that matters, however old.
-    pub fn that_matters(&self) -> impl Iterator<Item = (RequestDigest, &Suspicion)> {
-        self.held().filter(|(_, suspicion)| suspicion.strength() >= ALWAYS_TOLD_FROM)
+    /// Returns the histories to send to a router whose digest differs, regardless of their age.
+    pub fn synced_histories(&self) -> impl Iterator<Item = (RequestDigest, &CrashHistory)> {
+        self.histories().filter(|(_, history)| history.crash_count() >= SYNC_THRESHOLD)
     }
 
-    /// All that is known.
-    pub fn held(&self) -> impl Iterator<Item = (RequestDigest, &Suspicion)> {
-        self.held.iter().map(|(request, held)| (*request, &held.suspicion))
+    /// Returns the histories of all tracked requests.
+    pub fn histories(&self) -> impl Iterator<Item = (RequestDigest, &CrashHistory)> {
+        self.requests.iter().map(|(request, tracked)| (*request, &tracked.history))
     }
 
-    /// What all routers that know the same of what is always told have alike; 0 of nothing.
+    /// Returns a digest that is equal for routers with the same [`Self::synced_histories`]; 0 if there are
+    /// none.
     #[must_use]
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The requests that are kept from upstreams, with how long they still are.
-    pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = (RequestDigest, &Suspicion, Duration)> {
-        self.held().filter_map(move |(request, suspicion)| match self.permission(request, now) {
-            Permission::Quarantined(left) => Some((request, suspicion, left)),
+    /// Returns the quarantined requests with the remaining period.
+    pub fn quarantined(
+        &self,
+        now: Instant,
+    ) -> impl Iterator<Item = (RequestDigest, &CrashHistory, Duration)> {
+        self.histories().filter_map(move |(request, history)| match self.permission(request, now) {
+            SendPermission::Quarantined(remaining) => Some((request, history, remaining)),
             _ => None,
         })
     }
 
-    /// Notes which software upstreams run now.
-    pub fn follow_software(&mut self, running: impl IntoIterator<Item = NameHash>) {
-        self.running = Some(running.into_iter().collect());
+    /// Sets the software that upstreams run now.
+    pub fn set_running_software(&mut self, running_software: impl IntoIterator<Item = NameHash>) {
+        self.running_software = Some(running_software.into_iter().collect());
     }
 
-    /// Forgets what is over.
+    /// Removes expired histories.
     pub fn prune(&mut self, now: Instant) {
-        let over = self.held().filter(|(_, suspicion)| suspicion.is_over(now));
-        let over: Vec<RequestDigest> = over.map(|(request, _)| request).collect();
-        for request in over {
-            self.forget(request);
+        let expired = self.histories().filter(|(_, history)| history.is_expired(now));
+        let expired: Vec<RequestDigest> = expired.map(|(request, _)| request).collect();
+        for request in expired {
+            self.remove(request);
         }
     }
 }
 
-/// A number for a crash, the same at all routers of one build.
-fn mixed(request: RequestDigest, upstream: NameHash) -> u64 {
+/// Hashes one crash of a request. The result is the same on all routers of one build.
+fn crash_digest(request: RequestDigest, upstream: NameHash) -> u64 {
     let mut bytes = [0; 24];
     bytes[..16].copy_from_slice(&request.0.to_le_bytes());
     bytes[16..].copy_from_slice(&upstream.0.to_le_bytes());
--- a/crates/bendhinge_fleet/tests/directory.rs
+++ b/crates/bendhinge_fleet/tests/directory.rs
@@ -1,4 +1,4 @@
-//! Entries that vanish while the store is in trouble are not upstreams that left.
+//! The upstream directory: lists, grace periods, warm-ups, drains and leave notices.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use bendhinge_ids::{Instant, NameHash};
 
 const LIMITS: DirectoryLimits = DirectoryLimits {
-    gap: Duration::from_millis(2_500),
-    doubt: Duration::from_millis(3_000),
-    remember: Duration::from_millis(3_000),
+    max_staleness: Duration::from_millis(2_500),
+    removal_grace: Duration::from_millis(3_000),
+    retention: Duration::from_millis(3_000),
 };
 
 fn at(millis: u64) -> Instant {
@@ -23,262 +23,261 @@
         Arc::new(UpstreamEntry {
             name: name.parse().unwrap(),
             hash: NameHash::of(name),
-            born: 0,
+            started_ms: 0,
             software: NameHash::of(""),
             pool: "pool".parse().unwrap(),
             address: "10.0.0.1:80".parse().unwrap(),
             data_centre: "south".parse().unwrap(),
             slots: 8,
             state: *state,
-            made: 1,
+            created_revision: 1,
             warm_up: None,
         })
     });
     UpstreamList { entries: entries.collect(), drained: Vec::new() }
 }
 
-fn working(directory: &Directory, millis: u64) -> Vec<String> {
-    let working = directory.listed().iter().filter(|listed| listed.takes_work(at(millis)));
-    working.map(|listed| listed.entry.name.to_string()).collect()
+fn names_accepting_work(directory: &Directory, millis: u64) -> Vec<String> {
+    let accepting = directory.upstreams().iter().filter(|listed| listed.accepts_work(at(millis)));
+    accepting.map(|listed| listed.entry.name.to_string()).collect()
 }
 
 use UpstreamState::{Draining, Ready};
 
-fn read(directory: &mut Directory, entries: &[(&str, UpstreamState)], millis: u64) {
-    directory.evidence(at(millis));
-    directory.take(&list(entries), at(millis));
+fn apply_list(directory: &mut Directory, entries: &[(&str, UpstreamState)], millis: u64) {
+    directory.confirm_current(at(millis));
+    directory.apply(&list(entries), at(millis));
 }
 
 #[test]
-fn an_entry_that_vanishes_in_calm_takes_no_more_work() {
+fn removed_upstream_accepts_no_work() {
     let mut directory = Directory::new(LIMITS);
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
-    read(&mut directory, &[("a", Ready)], 1_700);
-    assert_eq!(working(&directory, 1_700), ["a"]);
-    assert_eq!(directory.listed().len(), 2, "it is remembered for what it keeps");
-    assert!(directory.lists(NameHash::of("b")));
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
+    apply_list(&mut directory, &[("a", Ready)], 1_700);
+    assert_eq!(names_accepting_work(&directory, 1_700), ["a"]);
+    assert_eq!(directory.upstreams().len(), 2, "kept for the state that it holds");
+    assert!(directory.contains(NameHash::of("b")));
     assert!(directory.prune(at(5_000)));
-    assert_eq!(directory.listed().len(), 1);
-    assert!(directory.lists(NameHash::of("a")));
-    assert!(!directory.lists(NameHash::of("b")));
+    assert_eq!(directory.upstreams().len(), 1);
+    assert!(directory.contains(NameHash::of("a")));
+    assert!(!directory.contains(NameHash::of("b")));
 }
 
 #[test]
-fn entries_that_vanish_after_a_gap_are_kept_for_a_while() {
+fn upstreams_removed_after_stale_period_are_kept_for_grace_period() {
     let mut directory = Directory::new(LIMITS);
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
-    read(&mut directory, &[], 8_000);
-    assert_eq!(working(&directory, 8_000), ["a", "b"]);
-    read(&mut directory, &[("a", Ready)], 9_000);
-    assert_eq!(working(&directory, 9_000), ["a", "b"], "b may still come back");
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
+    apply_list(&mut directory, &[], 8_000);
+    assert_eq!(names_accepting_work(&directory, 8_000), ["a", "b"]);
+    apply_list(&mut directory, &[("a", Ready)], 9_000);
+    assert_eq!(names_accepting_work(&directory, 9_000), ["a", "b"], "b is in its grace period");
     directory.prune(at(10_900));
-    assert_eq!(working(&directory, 10_900), ["a", "b"], "the store's return is not three seconds ago");
+    assert_eq!(names_accepting_work(&directory, 10_900), ["a", "b"], "the grace period is not over");
     directory.prune(at(11_100));
-    assert_eq!(working(&directory, 11_100), ["a"], "the doubt is over");
+    assert_eq!(names_accepting_work(&directory, 11_100), ["a"], "the grace period is over");
 }
 
-/// A router that stood still for four seconds while the store was well, and heard of the list as of the end of that. An
-/// upstream that leaves without a word 1.4 s later is given up with the doubt, and not three seconds after it vanished:
-/// by then a request that reached it counted as two seconds late.
+/// A router is paused while the store is healthy and then receives an outdated confirmation. Guards against
+/// a grace period that starts at the removal and so sends requests to a departed upstream.
 #[test]
-fn what_vanishes_late_in_a_doubt_is_given_up_when_the_doubt_ends() {
+fn late_removal_does_not_extend_the_grace_period() {
     let mut directory = Directory::new(LIMITS);
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 17_900);
-    directory.evidence(at(21_950));
-    read(&mut directory, &[("a", Ready)], 23_350);
-    assert_eq!(working(&directory, 24_900), ["a", "b"]);
-    assert_eq!(working(&directory, 24_950), ["a"]);
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 17_900);
+    directory.confirm_current(at(21_950));
+    apply_list(&mut directory, &[("a", Ready)], 23_350);
+    assert_eq!(names_accepting_work(&directory, 24_900), ["a", "b"]);
+    assert_eq!(names_accepting_work(&directory, 24_950), ["a"]);
 }
 
 #[test]
-fn an_entry_that_comes_back_is_the_same_as_before() {
+fn relisted_upstream_keeps_first_seen() {
     let mut directory = Directory::new(LIMITS);
-    read(&mut directory, &[("a", Ready)], 1_000);
-    read(&mut directory, &[], 8_000);
-    read(&mut directory, &[("a", Ready)], 9_000);
+    apply_list(&mut directory, &[("a", Ready)], 1_000);
+    apply_list(&mut directory, &[], 8_000);
+    apply_list(&mut directory, &[("a", Ready)], 9_000);
     directory.prune(at(20_000));
-    assert_eq!(working(&directory, 20_000), ["a"]);
-    assert_eq!(directory.listed()[0].since, at(1_000));
+    assert_eq!(names_accepting_work(&directory, 20_000), ["a"]);
+    assert_eq!(directory.upstreams()[0].first_seen, at(1_000));
 }
 
 #[test]
-fn leaving_wins_over_joining() {
+fn draining_upstream_does_not_become_ready_again() {
     let mut directory = Directory::new(LIMITS);
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
-    read(&mut directory, &[("a", Draining), ("b", Ready)], 1_700);
-    assert_eq!(working(&directory, 1_700), ["b"]);
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 2_400);
-    assert_eq!(working(&directory, 2_400), ["b"]);
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
+    apply_list(&mut directory, &[("a", Draining), ("b", Ready)], 1_700);
+    assert_eq!(names_accepting_work(&directory, 1_700), ["b"]);
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 2_400);
+    assert_eq!(names_accepting_work(&directory, 2_400), ["b"]);
 }
 
-/// A list of one upstream that says that it warms up.
-fn warming(left_millis: u64, said: u64) -> UpstreamList {
-    let mut warming = list(&[("a", Ready)]);
-    let entry = Arc::make_mut(&mut warming.entries[0]);
-    entry.warm_up = WarmUp::of(Duration::from_millis(left_millis), Revision(said));
-    warming
+/// Returns a list with one upstream that is warming up.
+fn warming_list(remaining_ms: u64, revision: u64) -> UpstreamList {
+    let mut list = list(&[("a", Ready)]);
+    let entry = Arc::make_mut(&mut list.entries[0]);
+    entry.warm_up = WarmUp::new(Duration::from_millis(remaining_ms), Revision(revision));
+    list
 }
 
-fn is_warming(directory: &Directory, millis: u64) -> bool {
-    directory.listed()[0].is_warming(at(millis))
+fn is_warming_up(directory: &Directory, millis: u64) -> bool {
+    directory.upstreams()[0].is_warming_up(at(millis))
 }
 
 #[test]
-fn a_warm_up_ends_when_what_was_left_of_it_is_over_however_often_it_is_read() {
+fn repeated_report_does_not_extend_a_warm_up() {
     let mut directory = Directory::new(LIMITS);
-    directory.take(&warming(3_000, 7), at(1_000));
-    directory.take(&warming(3_000, 7), at(2_500));
-    assert!(is_warming(&directory, 3_900));
-    assert!(!is_warming(&directory, 4_000));
+    directory.apply(&warming_list(3_000, 7), at(1_000));
+    directory.apply(&warming_list(3_000, 7), at(2_500));
+    assert!(is_warming_up(&directory, 3_900));
+    assert!(!is_warming_up(&directory, 4_000));
 }
 
 #[test]
-fn an_upstream_may_warm_up_again_under_the_same_name() {
+fn upstream_may_warm_up_again() {
     let mut directory = Directory::new(LIMITS);
-    directory.take(&warming(3_000, 7), at(1_000));
-    directory.take(&warming(1_200, 9), at(2_500));
-    assert!(!is_warming(&directory, 3_700), "what is said last counts");
-    directory.take(&list(&[("a", Ready)]), at(5_000));
-    assert!(!is_warming(&directory, 5_000));
-    directory.take(&warming(3_000, 30), at(6_000));
-    assert!(is_warming(&directory, 8_900));
+    directory.apply(&warming_list(3_000, 7), at(1_000));
+    directory.apply(&warming_list(1_200, 9), at(2_500));
+    assert!(!is_warming_up(&directory, 3_700), "the latest report counts");
+    directory.apply(&list(&[("a", Ready)]), at(5_000));
+    assert!(!is_warming_up(&directory, 5_000));
+    directory.apply(&warming_list(3_000, 30), at(6_000));
+    assert!(is_warming_up(&directory, 8_900));
 }
 
-/// The upstreams "a" and "b", with their data centre drained or not.
-fn drained(is_drained: bool) -> UpstreamList {
+/// Returns a list of the upstreams "a" and "b", with their data centre drained or not.
+fn list_with_drain(is_drained: bool) -> UpstreamList {
     let mut list = list(&[("a", Ready), ("b", Ready)]);
     list.drained = if is_drained { vec!["south".parse().unwrap()] } else { Vec::new() };
     list
 }
 
 #[test]
-fn an_upstream_of_a_drained_data_centre_takes_no_work_until_that_is_taken_back() {
+fn upstreams_accept_no_work_while_their_data_centre_is_drained() {
     let mut directory = Directory::new(LIMITS);
-    for begin in [1_000, 20_000] {
-        directory.take(&drained(false), at(begin));
-        assert_eq!(working(&directory, begin), ["a", "b"]);
-        directory.take(&drained(true), at(begin + 1_000));
-        assert_eq!(working(&directory, begin + 1_000), [""; 0]);
-        directory.prune(at(begin + 9_000));
-        assert_eq!(directory.listed().len(), 2, "they are still there, for what they keep");
-        directory.take(&drained(false), at(begin + 9_500));
-        assert_eq!(working(&directory, begin + 9_500), ["a", "b"]);
+    for start in [1_000, 20_000] {
+        directory.apply(&list_with_drain(false), at(start));
+        assert_eq!(names_accepting_work(&directory, start), ["a", "b"]);
+        directory.apply(&list_with_drain(true), at(start + 1_000));
+        assert_eq!(names_accepting_work(&directory, start + 1_000), [""; 0]);
+        directory.prune(at(start + 9_000));
+        assert_eq!(directory.upstreams().len(), 2, "kept for the state that they hold");
+        directory.apply(&list_with_drain(false), at(start + 9_500));
+        assert_eq!(names_accepting_work(&directory, start + 9_500), ["a", "b"]);
     }
 }
 
 #[test]
-fn upstreams_come_back_from_a_drained_data_centre_as_if_they_were_warming_up() {
+fn upstreams_count_as_warming_up_after_a_drain() {
     let mut directory = Directory::new(LIMITS);
-    directory.take(&drained(true), at(1_000));
-    assert!(!is_warming(&directory, 1_000), "who starts amid it knows no more than that");
-    directory.take(&drained(false), at(9_000));
-    assert!(is_warming(&directory, 11_400));
-    assert!(!is_warming(&directory, 11_500));
+    directory.apply(&list_with_drain(true), at(1_000));
+    assert!(!is_warming_up(&directory, 1_000), "the router has seen no end of a drain");
+    directory.apply(&list_with_drain(false), at(9_000));
+    assert!(is_warming_up(&directory, 11_400));
+    assert!(!is_warming_up(&directory, 11_500));
 }
 
 #[test]
-fn an_entry_that_lapses_while_its_data_centre_is_drained_takes_no_work_either() {
+fn entry_that_expires_during_a_drain_accepts_no_work() {
     let mut directory = Directory::new(LIMITS);
-    directory.evidence(at(1_000));
-    directory.take(&drained(true), at(1_000));
-    let mut lapsed = drained(true);
-    lapsed.entries.remove(0);
-    directory.evidence(at(5_000));
-    directory.take(&lapsed, at(5_000));
-    assert_eq!(working(&directory, 5_000), [""; 0]);
+    directory.confirm_current(at(1_000));
+    directory.apply(&list_with_drain(true), at(1_000));
+    let mut expired = list_with_drain(true);
+    expired.entries.remove(0);
+    directory.confirm_current(at(5_000));
+    directory.apply(&expired, at(5_000));
+    assert_eq!(names_accepting_work(&directory, 5_000), [""; 0]);
 }
 
-fn in_life(list: &UpstreamList, name: &str, born: u64) -> UpstreamList {
+fn with_start_time(list: &UpstreamList, name: &str, started_ms: u64) -> UpstreamList {
     let entries = list.entries.iter().map(|entry| {
         let mut entry = UpstreamEntry::clone(entry);
         if entry.name.as_str() == name {
-            entry.born = born;
-            entry.hash = UpstreamEntry::life(&entry.name, born);
+            entry.started_ms = started_ms;
+            entry.hash = UpstreamEntry::instance_hash(&entry.name, started_ms);
         }
         Arc::new(entry)
     });
     UpstreamList { entries: entries.collect(), drained: Vec::new() }
 }
 
-/// What was believed of the life before goes by its hash, which is listed no more.
+/// State is keyed by the instance hash, so nothing carries over from the previous instance.
 #[test]
-fn an_upstream_that_starts_again_under_its_name_is_another_one() {
+fn restarted_upstream_replaces_the_previous_instance() {
     let both = list(&[("a", Ready), ("b", Draining)]);
     let mut directory = Directory::new(LIMITS);
-    let take = |directory: &mut Directory, list: &UpstreamList, millis| {
-        directory.evidence(at(millis));
-        directory.take(list, at(millis));
+    let apply = |directory: &mut Directory, list: &UpstreamList, millis| {
+        directory.confirm_current(at(millis));
+        directory.apply(list, at(millis));
     };
-    take(&mut directory, &in_life(&both, "a", 1_000), 1_000);
-    let before = directory.listed()[0].entry.hash;
-    take(&mut directory, &in_life(&both, "a", 2_000), 2_000);
-    let names: Vec<_> = directory.listed().iter().map(|listed| listed.entry.name.as_str()).collect();
-    assert_eq!(names, ["a", "b"], "the life before holds nothing any more");
-    assert!(!directory.lists(before));
-    assert_eq!(directory.listed()[0].since, at(2_000));
-    // One that said that it leaves and starts again takes work: that was the other's word.
-    let returned = in_life(&list(&[("a", Ready), ("b", Ready)]), "b", 3_000);
-    take(&mut directory, &returned, 3_000);
-    assert!(working(&directory, 3_000).contains(&"b".to_owned()));
+    apply(&mut directory, &with_start_time(&both, "a", 1_000), 1_000);
+    let previous = directory.upstreams()[0].entry.hash;
+    apply(&mut directory, &with_start_time(&both, "a", 2_000), 2_000);
+    let names: Vec<_> = directory.upstreams().iter().map(|listed| listed.entry.name.as_str()).collect();
+    assert_eq!(names, ["a", "b"], "the previous instance is dropped");
+    assert!(!directory.contains(previous));
+    assert_eq!(directory.upstreams()[0].first_seen, at(2_000));
+    // A draining upstream that restarts accepts work.
+    let restarted = with_start_time(&list(&[("a", Ready), ("b", Ready)]), "b", 3_000);
+    apply(&mut directory, &restarted, 3_000);
+    assert!(names_accepting_work(&directory, 3_000).contains(&"b".to_owned()));
 }
 
-/// Its clock may have been set back: any other start is another life.
+/// The upstream's clock may have been set back: any other start time means another instance.
 #[test]
-fn a_life_with_an_earlier_start_is_another_one_too() {
+fn earlier_start_time_identifies_another_instance() {
     let name = "a".parse().unwrap();
-    assert_ne!(UpstreamEntry::life(&name, 2_000), UpstreamEntry::life(&name, 1_000));
+    assert_ne!(UpstreamEntry::instance_hash(&name, 2_000), UpstreamEntry::instance_hash(&name, 1_000));
     assert_eq!(
-        UpstreamEntry::life(&name, 0),
+        UpstreamEntry::instance_hash(&name, 0),
         NameHash::of("a"),
-        "of one that does not say it, the name must do"
+        "without a start time the name alone is hashed"
     );
 }
 
 #[test]
-fn an_upstream_that_said_itself_that_it_leaves_takes_no_work_whatever_lists_say() {
+fn leave_notice_overrides_lists() {
     let mut directory = Directory::new(LIMITS);
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
-    assert!(directory.leaves(NameHash::of("a"), at(1_500)));
-    assert!(!directory.leaves(NameHash::of("a"), at(1_600)), "it is no news any more");
-    assert_eq!(working(&directory, 1_500), ["b"]);
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 1_700);
-    assert_eq!(working(&directory, 1_700), ["b"]);
-    // Its entry goes, is forgotten, and is on a page that was read late.
-    read(&mut directory, &[("b", Ready)], 2_000);
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
+    assert!(directory.record_leaving(NameHash::of("a"), at(1_500)));
+    assert!(!directory.record_leaving(NameHash::of("a"), at(1_600)), "the notice is already recorded");
+    assert_eq!(names_accepting_work(&directory, 1_500), ["b"]);
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 1_700);
+    assert_eq!(names_accepting_work(&directory, 1_700), ["b"]);
+    // The entry is removed and pruned, then listed again by a delayed read.
+    apply_list(&mut directory, &[("b", Ready)], 2_000);
     directory.prune(at(9_000));
-    assert!(!directory.lists(NameHash::of("a")));
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 9_100);
-    assert_eq!(working(&directory, 9_100), ["b"]);
+    assert!(!directory.contains(NameHash::of("a")));
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 9_100);
+    assert_eq!(names_accepting_work(&directory, 9_100), ["b"]);
 }
 
-/// Nor where the store lost the entry in trouble, so that it is kept for a while.
+/// The store loses the entry while it is impaired, so the grace period would apply.
 #[test]
-fn an_upstream_that_said_that_it_leaves_is_not_kept_in_doubt() {
+fn leave_notice_overrides_the_grace_period() {
     let mut directory = Directory::new(LIMITS);
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
-    directory.leaves(NameHash::of("a"), at(2_000));
-    read(&mut directory, &[], 6_000);
-    assert_eq!(working(&directory, 6_000), ["b"]);
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
+    directory.record_leaving(NameHash::of("a"), at(2_000));
+    apply_list(&mut directory, &[], 6_000);
+    assert_eq!(names_accepting_work(&directory, 6_000), ["b"]);
 }
 
 #[test]
-fn an_upstream_may_say_that_it_leaves_before_it_is_listed() {
+fn leave_notice_may_precede_the_list() {
     let mut directory = Directory::new(LIMITS);
-    directory.leaves(NameHash::of("a"), at(500));
-    read(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
-    assert_eq!(working(&directory, 1_000), ["b"]);
+    directory.record_leaving(NameHash::of("a"), at(500));
+    apply_list(&mut directory, &[("a", Ready), ("b", Ready)], 1_000);
+    assert_eq!(names_accepting_work(&directory, 1_000), ["b"]);
 }
 
 #[test]
-fn another_life_of_an_upstream_that_left_takes_work() {
+fn restarted_upstream_accepts_work_after_leave_notice() {
     let mut directory = Directory::new(LIMITS);
-    read(&mut directory, &[("a", Ready)], 1_000);
-    directory.leaves(NameHash::of("a"), at(1_500));
+    apply_list(&mut directory, &[("a", Ready)], 1_000);
+    directory.record_leaving(NameHash::of("a"), at(1_500));
     let mut list = list(&[("a", Ready)]);
     let entry = Arc::make_mut(&mut list.entries[0]);
-    entry.born = 7;
-    entry.hash = UpstreamEntry::life(&entry.name, 7);
-    directory.evidence(at(2_000));
-    directory.take(&list, at(2_000));
-    assert_eq!(working(&directory, 2_000), ["a"]);
+    entry.started_ms = 7;
+    entry.hash = UpstreamEntry::instance_hash(&entry.name, 7);
+    directory.confirm_current(at(2_000));
+    directory.apply(&list, at(2_000));
+    assert_eq!(names_accepting_work(&directory, 2_000), ["a"]);
 }
--- a/crates/bendhinge_fleet/tests/lists.rs
+++ b/crates/bendhinge_fleet/tests/lists.rs
@@ -9,7 +9,7 @@
     let name = format!("upstream-{number:04}");
     Arc::new(UpstreamEntry {
         hash: NameHash::of(&name),
-        born: 0,
+        started_ms: 0,
         software: NameHash::of(""),
         name: name.parse().unwrap(),
         pool: "engines".parse().unwrap(),
@@ -17,7 +17,7 @@
         data_centre: "hall-1".parse().unwrap(),
         slots: 32,
         state,
-        made: u64::from(number),
+        created_revision: u64::from(number),
         warm_up: None,
     })
 }
@@ -140,7 +140,11 @@
 fn a_list_follows_what_the_store_wrote_and_removed() {
     let before = list(0..250);
     let name = |number: u32| ready(number).name.clone();
-    let again = UpstreamEntry { born: 7, hash: UpstreamEntry::life(&name(9), 7), ..(*ready(9)).clone() };
+    let again = UpstreamEntry {
+        started_ms: 7,
+        hash: UpstreamEntry::instance_hash(&name(9), 7),
+        ..(*ready(9)).clone()
+    };
     let came = vec![(*ready(300)).clone(), again.clone()];
     let drained = vec!["hall-2".parse().unwrap()];
     let after = before.updated(came, &[name(4), name(777)], drained.clone());
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -441,12 +441,12 @@
 /// What the end of a send says about the upstream.
 const fn upstream_failure(end: SendEnd) -> Option<UpstreamFailure> {
     match end {
-        SendEnd::NotConnected => Some(UpstreamFailure::NotConnected),
+        SendEnd::NotConnected => Some(UpstreamFailure::ConnectFailed),
         SendEnd::NotSent | SendEnd::Overtaken => None,
-        SendEnd::Rejected => Some(UpstreamFailure::Shed),
-        SendEnd::Replaced => Some(UpstreamFailure::Replaced),
-        SendEnd::Lost | SendEnd::Spoilt => Some(UpstreamFailure::Lost),
-        SendEnd::Silent => Some(UpstreamFailure::Silent),
-        SendEnd::Failed => Some(UpstreamFailure::Failed),
+        SendEnd::Rejected => Some(UpstreamFailure::Rejected),
+        SendEnd::Replaced => Some(UpstreamFailure::WrongInstance),
+        SendEnd::Lost | SendEnd::Spoilt => Some(UpstreamFailure::ConnectionLost),
+        SendEnd::Silent => Some(UpstreamFailure::TimedOut),
+        SendEnd::Failed => Some(UpstreamFailure::ErrorResponse),
     }
 }
--- a/crates/bendhinge_gateway/src/knowledge/peers.rs
+++ b/crates/bendhinge_gateway/src/knowledge/peers.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use bendhinge_fleet::{
-    LearnedFrom, ListChanges, ListLoads, ListTold, LoadSaid, NewsTold, UpstreamEntry, UpstreamList, Verdict,
-    Version,
+    LearnedFrom, ListChanges, ListLoads, ListTold, LoadSaid, NewsTold, SuspectChange, UpstreamEntry,
+    UpstreamList, Version,
 };
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_peer::{ObservedDoubt, ObservedLoad, ObservedRead, ReadsPage};
@@ -17,7 +17,7 @@
     /// What to tell the gateway at `listener` of upstreams that failed lately.
     pub(crate) fn doubts_to_tell(&self, listener: SocketAddr, now: Instant) -> Vec<ObservedDoubt> {
         let state = self.state.lock().unwrap();
-        let doubts = state.evidence.doubts_for(learned_from(listener), now);
+        let doubts = state.evidence.changes_for(learned_from(listener), now);
         doubts.map(|(upstream, doubt)| ObservedDoubt::of(upstream, doubt, now)).collect()
     }
 
@@ -33,14 +33,14 @@
         let mut state = self.state.lock().unwrap();
         let State { directory, judge, evidence, .. } = &mut *state;
         let mut resting = Vec::new();
-        for heard in doubts.iter().filter(|heard| directory.lists(heard.upstream)) {
-            match evidence.hear(heard.upstream, &heard.as_of(as_of), from, now) {
-                Verdict::Cleared => judge.cleared(heard.upstream),
-                Verdict::Suspect if judge.suspected(heard.upstream, now) => {
+        for heard in doubts.iter().filter(|heard| directory.contains(heard.upstream)) {
+            match evidence.merge(heard.upstream, &heard.as_of(as_of), from, now) {
+                SuspectChange::Cleared => judge.clear_suspect(heard.upstream),
+                SuspectChange::Suspected if judge.eject_suspect(heard.upstream, now) => {
                     let listed = directory.get(heard.upstream);
                     resting.extend(listed.map(|listed| Arc::clone(&listed.entry)));
                 }
-                Verdict::Unchanged | Verdict::Suspect => {}
+                SuspectChange::Unchanged | SuspectChange::Suspected => {}
             }
         }
         resting
--- a/crates/bendhinge_gateway/src/knowledge/upstreams.rs
+++ b/crates/bendhinge_gateway/src/knowledge/upstreams.rs
@@ -6,8 +6,9 @@
 
 use bendhinge_admission::Demand;
 use bendhinge_fleet::{
-    Belief, Directory, Evidence, Judge, LearnedFrom, ListHistory, Listed, LoadSaid, Loads, NewsLimits,
-    NewsLog, Offer, Rests, Standing, UpstreamEntry, UpstreamFailure, UpstreamList, Version,
+    Belief, Directory, FailureDetector, LearnedFrom, ListHistory, ListedUpstream, LoadSaid, Loads,
+    NewsLimits, NewsLog, Offer, OutlierDetector, RequestedBackoffs, UpstreamEntry, UpstreamFailure,
+    UpstreamHealth, UpstreamList, Version,
 };
 use bendhinge_ids::{Instant, NameHash, PoolName};
 use bendhinge_peer::Known;
@@ -74,10 +75,10 @@
     /// What there is to begin with before a list is there.
     part: Option<Arc<UpstreamList>>,
     pub(super) directory: Directory,
-    pub(super) judge: Judge,
+    pub(super) judge: OutlierDetector,
     /// The rests that upstreams asked this gateway for.
-    rests: Rests,
-    pub(super) evidence: Evidence,
+    rests: RequestedBackoffs,
+    pub(super) evidence: FailureDetector,
     pub(super) loads: Loads,
     pub(super) kept: KeptParts,
     /// What was learned lately of what upstreams keep.
@@ -118,9 +119,9 @@
             belief: Belief::default(),
             part: None,
             directory: Directory::new(settings.directory),
-            judge: Judge::new(settings.judge),
-            rests: Rests::default(),
-            evidence: Evidence::new(router_hash(own)),
+            judge: OutlierDetector::new(settings.judge),
+            rests: RequestedBackoffs::default(),
+            evidence: FailureDetector::new(router_hash(own)),
             loads: Loads::default(),
             kept: KeptParts::new(KEPT_FOR),
             news: NewsLog::new(READS_TOLD),
@@ -147,7 +148,7 @@
     pub(crate) fn begin_with(&self, part: Arc<UpstreamList>) {
         let mut state = self.state.lock().unwrap();
         if state.belief.held().is_none() && !part.entries.is_empty() {
-            state.directory.take(&part, bendhinge_clock::now());
+            state.directory.apply(&part, bendhinge_clock::now());
             state.part = Some(part);
         }
     }
@@ -177,7 +178,7 @@
         let mut state = self.state.lock().unwrap();
         let offer = state.belief.confirm(version, as_of);
         if offer == Offer::Confirmed {
-            state.directory.evidence(as_of);
+            state.directory.confirm_current(as_of);
         }
         offer
     }
@@ -196,7 +197,7 @@
             history.remember(held.version.digest, &held.value);
         }
         if offer != Offer::Old {
-            state.directory.evidence(as_of);
+            state.directory.confirm_current(as_of);
         }
         if offer == Offer::New {
             state.part = None;
@@ -222,7 +223,7 @@
         let fetch_from = choice.fetch_from.map(|source| listed[source].entry.address);
         let upstream = entry.hash;
         state.loads.began(upstream);
-        state.judge.sent(upstream, now);
+        state.judge.record_send(upstream, now);
         if let Some(prompt) = asked.prompt {
             for read in state.kept.read(upstream, prompt, now) {
                 state.news.push(read, LearnedFrom::Itself, now);
@@ -249,19 +250,19 @@
     pub(crate) fn first_rest_end(&self, pool: &PoolName, allowed: [&Regions; 2]) -> Option<Instant> {
         let now = bendhinge_clock::now();
         let state = self.state.lock().unwrap();
-        if state.rests.count(now) == 0 {
+        if state.rests.active_count(now) == 0 {
             return None;
         }
         let listed = state.allowed(pool, allowed, &self.regions);
-        let working = listed.into_iter().filter(|listed| listed.takes_work(now));
+        let working = listed.into_iter().filter(|listed| listed.accepts_work(now));
         // `None`, as one that does not rest has it, comes before any end.
-        working.map(|listed| state.rests.end(listed.entry.hash, now)).min().flatten()
+        working.map(|listed| state.rests.ends_at(listed.entry.hash, now)).min().flatten()
     }
 
     /// Whether an upstream takes new work, as far as lists and it itself say: one that rests does.
     pub(crate) fn takes_work(&self, upstream: NameHash) -> bool {
         let state = self.state.lock().unwrap();
-        state.directory.get(upstream).is_some_and(|listed| listed.takes_work(bendhinge_clock::now()))
+        state.directory.get(upstream).is_some_and(|listed| listed.accepts_work(bendhinge_clock::now()))
     }
 
     /// Whether a request may be sent to an upstream that was chosen: it may have begun to leave or to rest, or its
@@ -277,32 +278,32 @@
     pub(crate) fn working_in(&self, pool: &PoolName) -> usize {
         let now = bendhinge_clock::now();
         let state = self.state.lock().unwrap();
-        let listed = state.directory.listed().iter();
-        listed.filter(|listed| listed.entry.pool == *pool && listed.takes_work(now)).count()
+        let listed = state.directory.upstreams().iter();
+        listed.filter(|listed| listed.entry.pool == *pool && listed.accepts_work(now)).count()
     }
 
     /// Notes that an upstream asked for a rest; gives how long it is spared from now on.
     pub(crate) fn asked_to_rest(&self, upstream: NameHash, rest: Duration) -> Duration {
         let now = bendhinge_clock::now();
-        self.state.lock().unwrap().rests.asked(upstream, rest, now).since(now)
+        self.state.lock().unwrap().rests.record(upstream, rest, now).since(now)
     }
 
     /// Notes that an upstream said itself that it leaves; `true` if that is news.
     pub(crate) fn leaves(&self, upstream: NameHash) -> bool {
-        self.state.lock().unwrap().directory.leaves(upstream, bendhinge_clock::now())
+        self.state.lock().unwrap().directory.record_leaving(upstream, bendhinge_clock::now())
     }
 
     /// How many upstreams rest since they asked for it.
     pub(crate) fn resting(&self) -> usize {
-        self.state.lock().unwrap().rests.count(bendhinge_clock::now())
+        self.state.lock().unwrap().rests.active_count(bendhinge_clock::now())
     }
 
     /// Notes an upstream's whole answer, or the head of a stream.
     pub(crate) fn answered(&self, upstream: NameHash) {
         let now = bendhinge_clock::now();
         let mut state = self.state.lock().unwrap();
-        state.judge.answered(upstream, now);
-        state.evidence.answered(upstream, now);
+        state.judge.record_success(upstream, now);
+        state.evidence.record_response(upstream, now);
     }
 
     /// Notes a failure of a request that was sent at `sent`; `true` if the upstream rests because
@@ -310,8 +311,8 @@
     pub(crate) fn failed(&self, upstream: NameHash, failure: UpstreamFailure, sent: Instant) -> bool {
         let now = bendhinge_clock::now();
         let mut state = self.state.lock().unwrap();
-        state.evidence.failed(upstream, failure, sent, now);
-        state.judge.failed(upstream, failure, now)
+        state.evidence.record_failure(upstream, failure, sent, now);
+        state.judge.record_failure(upstream, failure, now)
     }
 
     /// Notes what an upstream said of its load.
@@ -325,7 +326,7 @@
     pub(crate) fn keeping(&self, keeps_prompts: impl Fn(&PoolName) -> bool) -> Vec<Arc<UpstreamEntry>> {
         let state = self.state.lock().unwrap();
         let now = bendhinge_clock::now();
-        let listed = state.directory.listed().iter().filter(|listed| state.is_open(listed, now));
+        let listed = state.directory.upstreams().iter().filter(|listed| state.is_open(listed, now));
         listed.map(|listed| Arc::clone(&listed.entry)).filter(|entry| keeps_prompts(&entry.pool)).collect()
     }
 
@@ -336,12 +337,12 @@
 
     /// Whether an upstream is listed, or vanished lately.
     pub(crate) fn lists(&self, upstream: NameHash) -> bool {
-        self.state.lock().unwrap().directory.lists(upstream)
+        self.state.lock().unwrap().directory.contains(upstream)
     }
 
     /// The software of all upstreams, those that vanished lately among them.
     pub(crate) fn software(&self) -> Vec<NameHash> {
-        self.state.lock().unwrap().directory.listed().iter().map(|listed| listed.entry.software).collect()
+        self.state.lock().unwrap().directory.upstreams().iter().map(|listed| listed.entry.software).collect()
     }
 
     /// Notes how many gateways are known, this one among them.
@@ -359,38 +360,38 @@
         let State { directory, evidence, kept, news, rests, .. } = &mut *state;
         rests.prune(now);
         news.forget(now);
-        evidence.prune(|upstream| directory.lists(upstream), now);
-        kept.prune(|upstream| directory.lists(upstream), now);
+        evidence.prune(|upstream| directory.contains(upstream), now);
+        kept.prune(|upstream| directory.contains(upstream), now);
     }
 }
 
 impl State {
     fn follow_list(&mut self) {
         if let Some(list) = self.belief.value() {
-            self.directory.take(list, bendhinge_clock::now());
+            self.directory.apply(list, bendhinge_clock::now());
             self.forget_gone();
         }
     }
 
     fn forget_gone(&mut self) {
         let Self { directory, judge, loads, .. } = self;
-        judge.keep_only(|upstream| directory.lists(upstream));
-        loads.keep_only(|upstream| directory.lists(upstream));
+        judge.retain_listed(|upstream| directory.contains(upstream));
+        loads.keep_only(|upstream| directory.contains(upstream));
     }
 
     /// Whether requests may be sent to an upstream. The one place that knows of the rests that upstreams ask for:
     /// each way to an upstream leads through it, right before bytes are written, too.
-    fn is_open(&self, listed: &Listed, now: Instant) -> bool {
-        listed.takes_work(now) && self.rests.end(listed.entry.hash, now).is_none()
+    fn is_open(&self, listed: &ListedUpstream, now: Instant) -> bool {
+        listed.accepts_work(now) && self.rests.ends_at(listed.entry.hash, now).is_none()
     }
 
     /// The pool's upstreams that are in a region which a request may reach.
-    fn allowed(&self, pool: &PoolName, allowed: [&Regions; 2], regions: &RegionMap) -> Vec<&Listed> {
-        let is_allowed = |listed: &&Listed| {
+    fn allowed(&self, pool: &PoolName, allowed: [&Regions; 2], regions: &RegionMap) -> Vec<&ListedUpstream> {
+        let is_allowed = |listed: &&ListedUpstream| {
             let region = regions.get(&listed.entry.data_centre);
             allowed.iter().all(|allowed| allowed.allow(region))
         };
-        let pool = self.directory.listed().iter().filter(|listed| listed.entry.pool == *pool);
+        let pool = self.directory.upstreams().iter().filter(|listed| listed.entry.pool == *pool);
         pool.filter(is_allowed).collect()
     }
 
@@ -402,7 +403,7 @@
         question: &PlacementQuestion<'_>,
         regions: &RegionMap,
         now: Instant,
-    ) -> (Vec<&Listed>, Vec<Candidate>) {
+    ) -> (Vec<&ListedUpstream>, Vec<Candidate>) {
         let listed = self.allowed(question.pool, question.regions, regions);
         let mean = self.loads.mean_of_others(listed.iter().map(|listed| listed.entry.hash), now);
         let mut candidates: Vec<Candidate> =
@@ -431,17 +432,17 @@
 
     fn candidate(
         &self,
-        listed: &Listed,
+        listed: &ListedUpstream,
         question: &PlacementQuestion<'_>,
         mean: f32,
         now: Instant,
     ) -> Candidate {
         let upstream = listed.entry.hash;
-        let standing = self.judge.standing(upstream, now);
+        let standing = self.judge.health(upstream, now);
         let failing = match standing {
-            Standing::Good { failing } => failing,
-            Standing::OnTrial if question.may_try => 0.0,
-            Standing::OnTrial | Standing::Resting => SHARE_FAILING_ON_TRIAL,
+            UpstreamHealth::Healthy { failure_rate } => failure_rate,
+            UpstreamHealth::ProbeAllowed if question.may_try => 0.0,
+            UpstreamHealth::ProbeAllowed | UpstreamHealth::Ejected => SHARE_FAILING_ON_TRIAL,
         };
         let is_fit = self.is_open(listed, now) && !question.tried.contains(&upstream);
         // Nobody hears from an upstream to which nobody sends: what the others have there is nothing.
@@ -454,11 +455,11 @@
             upstream,
             load,
             failing,
-            takes_work: is_fit && standing != Standing::Resting,
-            is_warming: is_fit && listed.is_warming(now),
-            counts: listed.left.is_none_or(|left| now < left)
-                && self.rests.end(upstream, now).is_none()
-                && standing != Standing::Resting,
+            takes_work: is_fit && standing != UpstreamHealth::Ejected,
+            is_warming: is_fit && listed.is_warming_up(now),
+            counts: listed.stops_at.is_none_or(|left| now < left)
+                && self.rests.ends_at(upstream, now).is_none()
+                && standing != UpstreamHealth::Ejected,
         }
     }
 }
--- a/crates/bendhinge_gateway/src/native/store.rs
+++ b/crates/bendhinge_gateway/src/native/store.rs
@@ -158,16 +158,16 @@
 
 fn entry(item: UpstreamItem) -> UpstreamEntry {
     UpstreamEntry {
-        hash: UpstreamEntry::life(&item.name, item.born),
+        hash: UpstreamEntry::instance_hash(&item.name, item.born),
         name: item.name,
-        born: item.born,
+        started_ms: item.born,
         software: NameHash::of(&format!("{}/{}", item.pool, item.software)),
         pool: item.pool,
         address: item.address,
         data_centre: item.data_centre,
         slots: item.slots,
         state: if item.draining { UpstreamState::Draining } else { UpstreamState::Ready },
-        made: item.made,
-        warm_up: WarmUp::of(Duration::from_millis(item.warm_up_ms.into()), Revision(item.warm_up_said)),
+        created_revision: item.made,
+        warm_up: WarmUp::new(Duration::from_millis(item.warm_up_ms.into()), Revision(item.warm_up_said)),
     }
 }
--- a/crates/bendhinge_gateway/src/quarantine.rs
+++ b/crates/bendhinge_gateway/src/quarantine.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bendhinge_codes::ResultCode;
-use bendhinge_fleet::{Crash, Origin, Permission, Quarantine, UpstreamEntry};
+use bendhinge_fleet::{Crash, Origin, Quarantine, SendPermission, UpstreamEntry};
 use bendhinge_ids::{Instant, NameHash, RequestDigest, RequestHint};
 use bendhinge_peer::ObservedSuspicion;
 use rand::Rng;
@@ -56,17 +56,17 @@
 }
 
 impl Kept {
-    fn by(permission: Permission) -> Option<Self> {
+    fn by(permission: SendPermission) -> Option<Self> {
         /// Sends of a suspected request end within a request's time; one that crashes its upstream within
         /// a second or two.
         const UNTIL_SENDS_END_MILLIS: std::ops::Range<u64> = 500..1_500;
         let (code, retry_after) = match permission {
-            Permission::Free | Permission::Watched => return None,
-            Permission::Later => {
+            SendPermission::Allowed | SendPermission::Tracked => return None,
+            SendPermission::Deferred => {
                 let millis = rand::rng().random_range(UNTIL_SENDS_END_MILLIS);
                 (ResultCode::SuspectUnderWay, Duration::from_millis(millis))
             }
-            Permission::Quarantined(left) => (ResultCode::Quarantined, left),
+            SendPermission::Quarantined(left) => (ResultCode::Quarantined, left),
         };
         Some(Self { code, retry_after })
     }
@@ -80,7 +80,7 @@
 
 impl Drop for WatchedSend {
     fn drop(&mut self) {
-        self.keeper.state.lock().unwrap().ends(self.request, bendhinge_clock::now());
+        self.keeper.state.lock().unwrap().record_send_end(self.request, bendhinge_clock::now());
         self.keeper.changed(Origin::Store, OF_NOTE);
     }
 }
@@ -94,7 +94,7 @@
 
     /// Whether something may be known of a request.
     pub(crate) fn may_know(&self, hint: RequestHint) -> bool {
-        self.state.lock().unwrap().may_know(hint)
+        self.state.lock().unwrap().may_contain(hint)
     }
 
     /// Whether nothing is known of any request.
@@ -105,7 +105,7 @@
     /// Whether a request is kept from upstreams now, and not just until others of it have ended.
     pub(crate) fn is_quarantined(&self, request: RequestDigest) -> bool {
         let permission = self.state.lock().unwrap().permission(request, bendhinge_clock::now());
-        matches!(permission, Permission::Quarantined(_))
+        matches!(permission, SendPermission::Quarantined(_))
     }
 
     /// Whether a request may be sent; `Err` says why not.
@@ -122,10 +122,10 @@
         if let Some(kept) = Kept::by(permission) {
             return Err(kept);
         }
-        if permission == Permission::Free {
+        if permission == SendPermission::Allowed {
             return Ok(None);
         }
-        state.begins(request, now);
+        state.record_send_start(request, now);
         drop(state);
         self.changed(Origin::Store, OF_NOTE);
         Ok(Some(WatchedSend { keeper: Arc::clone(self), request }))
@@ -143,8 +143,8 @@
     ) {
         let crash = Crash { upstream: upstream.hash, software: upstream.software, at: lost };
         let mut state = self.state.lock().unwrap();
-        let is_new = state.crashed(request, crash, sent, bendhinge_clock::now());
-        let crashes = state.crashes_of(request);
+        let is_new = state.record_crash(request, crash, sent, bendhinge_clock::now());
+        let crashes = state.crash_count(request);
         drop(state);
         if is_new {
             self.log.crash(number, request, &upstream.name, crashes);
@@ -166,8 +166,8 @@
 
     fn end_suspicion(&self, request: RequestDigest, why: &str) {
         let mut state = self.state.lock().unwrap();
-        let crashes = state.crashes_of(request);
-        let is_over = state.answered(request, bendhinge_clock::now());
+        let crashes = state.crash_count(request);
+        let is_over = state.record_response(request, bendhinge_clock::now());
         drop(state);
         if is_over {
             self.log.suspicion_over(request, why, crashes);
@@ -181,9 +181,9 @@
         let mut changed = None;
         for heard in suspicions {
             let mut state = self.state.lock().unwrap();
-            let before = state.crashes_of(heard.request);
-            let changes = state.hear(heard.request, &heard.as_of(as_of), learned_from(from), now);
-            let crashes = state.crashes_of(heard.request);
+            let before = state.crash_count(heard.request);
+            let changes = state.merge(heard.request, &heard.as_of(as_of), learned_from(from), now);
+            let crashes = state.crash_count(heard.request);
             drop(state);
             if changes {
                 changed = changed.max(Some(crashes.max(before)));
@@ -199,7 +199,7 @@
 
     /// Whether there is anything to tell the gateway at `listener` at once, see [`QuarantineKeeper::changes`].
     pub(crate) fn has_changes(&self, listener: SocketAddr, since: Instant, tells_on: bool) -> bool {
-        self.state.lock().unwrap().changes(learned_from(listener), since, tells_on).next().is_some()
+        self.state.lock().unwrap().changes_for(learned_from(listener), since, tells_on).next().is_some()
     }
 
     /// What changed after `since`, to tell the gateway at `listener` at once; what others told, if this one
@@ -212,7 +212,7 @@
         now: Instant,
     ) -> Vec<ObservedSuspicion> {
         let state = self.state.lock().unwrap();
-        let told = state.changes(learned_from(listener), since, tells_on);
+        let told = state.changes_for(learned_from(listener), since, tells_on);
         told.map(|(request, suspicion)| ObservedSuspicion::of(request, suspicion, now)).collect()
     }
 
@@ -220,7 +220,7 @@
     pub(crate) fn that_differs(&self, known: u64, now: Instant) -> Vec<ObservedSuspicion> {
         let state = self.state.lock().unwrap();
         let differs = known != state.digest();
-        let told = state.that_matters().filter(|_| differs);
+        let told = state.synced_histories().filter(|_| differs);
         told.map(|(request, suspicion)| ObservedSuspicion::of(request, suspicion, now)).collect()
     }
 
@@ -231,7 +231,7 @@
 
     /// Notes which software upstreams run.
     pub(crate) fn follow_software(&self, running: Vec<NameHash>) {
-        self.state.lock().unwrap().follow_software(running);
+        self.state.lock().unwrap().set_running_software(running);
     }
 
     /// Forgets what is over.
--- a/crates/bendhinge_gateway/src/settings/mod.rs
+++ b/crates/bendhinge_gateway/src/settings/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bendhinge_admission::FleetRetryBudget;
-use bendhinge_fleet::{DirectoryLimits, JudgeLimits, ReadingLimits, RosterLimits};
+use bendhinge_fleet::{DirectoryLimits, OutlierLimits, ReadingLimits, RosterLimits};
 use bendhinge_ids::{BoxName, DataCentreName, RegionName, RequestDigest};
 use bendhinge_ini::{Document, Faults, Section, read_file};
 use bendhinge_peer::PeerKey;
@@ -122,7 +122,7 @@
     /// The largest answer that is not a stream.
     pub answer_bytes: usize,
     /// Judging by answers.
-    pub judge: JudgeLimits,
+    pub judge: OutlierLimits,
     /// Entries that vanish.
     pub directory: DirectoryLimits,
     /// Load as a multiple of the mean.
@@ -293,8 +293,8 @@
             connect: connect?,
             idle: idle?,
             answer_bytes: answer_bytes?,
-            judge: JudgeLimits { rest: rest?, longest_rest: longest_rest?, half_life: HALF_LIFE },
-            directory: DirectoryLimits { gap: GAP, doubt: doubt?, remember: REMEMBER },
+            judge: OutlierLimits { base_ejection: rest?, max_ejection: longest_rest?, half_life: HALF_LIFE },
+            directory: DirectoryLimits { max_staleness: GAP, removal_grace: doubt?, retention: REMEMBER },
             load_bound: load_bound? as f32,
             leaving: leaving?,
         })
--- a/crates/bendhinge_lab/src/bench/crashing.rs
+++ b/crates/bendhinge_lab/src/bench/crashing.rs
@@ -10,7 +10,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use bendhinge_fleet::{Crash, LearnedFrom, MOST_CRASHES, Permission, Quarantine, Suspicion};
+use bendhinge_fleet::{Crash, CrashHistory, LearnedFrom, MAX_CRASHES, Quarantine, SendPermission};
 use bendhinge_ids::{Instant, NameHash, RequestDigest};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -108,7 +108,7 @@
     /// A run ends by itself.
     Ends { upstream: usize, run: u64 },
     /// A router hears of a request.
-    Hears { router: usize, from: usize, request: RequestDigest, suspicion: Suspicion },
+    Hears { router: usize, from: usize, request: RequestDigest, suspicion: CrashHistory },
     /// A seventh of the upstreams crashes.
     Wave,
     /// All routers are killed.
@@ -226,7 +226,7 @@
             Event::Ends { upstream, run } => self.ends(upstream, run),
             Event::Hears { router, from, request, suspicion } => {
                 let from = LearnedFrom::Router(own_name(from));
-                self.routers[router].hear(request, &suspicion, from, self.now);
+                self.routers[router].merge(request, &suspicion, from, self.now);
             }
             Event::Wave => {
                 for upstream in 0..self.upstreams.len() {
@@ -265,9 +265,9 @@
         self.seen.sound += usize::from(is_sound);
         let permission = self.permission(router, request);
         match permission {
-            Permission::Free | Permission::Watched => {}
-            Permission::Later => return self.seen.sound_later += usize::from(is_sound),
-            Permission::Quarantined(_) => return self.seen.sound_quarantined += usize::from(is_sound),
+            SendPermission::Allowed | SendPermission::Tracked => {}
+            SendPermission::Deferred => return self.seen.sound_later += usize::from(is_sound),
+            SendPermission::Quarantined(_) => return self.seen.sound_quarantined += usize::from(is_sound),
         }
         let now = self.now;
         let up = (0..self.upstreams.len()).filter(|upstream| self.upstreams[*upstream].back_at <= now);
@@ -282,9 +282,10 @@
         {
             self.seen.late += 1;
         }
-        let is_watched = permission == Permission::Watched && matches!(self.way, Way::WithSends | Way::Named);
+        let is_watched =
+            permission == SendPermission::Tracked && matches!(self.way, Way::WithSends | Way::Named);
         if is_watched {
-            self.routers[router].begins(request, now);
+            self.routers[router].record_send_start(request, now);
             self.tell(router, request);
         }
         let number = self.next;
@@ -295,12 +296,12 @@
         self.schedule(now + lasts, Event::Ends { upstream, run: number });
     }
 
-    fn permission(&mut self, router: usize, request: RequestDigest) -> Permission {
+    fn permission(&mut self, router: usize, request: RequestDigest) -> SendPermission {
         let own = self.routers[router].permission(request, self.now);
         if self.way == Way::Uncounted {
-            return Permission::Free;
+            return SendPermission::Allowed;
         }
-        if self.way != Way::Named || own == Permission::Free || self.is_cut_off(router) {
+        if self.way != Way::Named || own == SendPermission::Allowed || self.is_cut_off(router) {
             return own;
         }
         self.messages += 2;
@@ -321,13 +322,13 @@
         if self.upstreams[upstream].runs[place].request == FATAL {
             self.seen.crashed += 1;
             self.crash(upstream);
-            if self.seen.crashed == MOST_CRASHES {
+            if self.seen.crashed == MAX_CRASHES {
                 self.third_crash = Some(self.now);
             }
             return;
         }
         let run = self.upstreams[upstream].runs.swap_remove(place);
-        if self.routers[run.router].answered(run.request, self.now) {
+        if self.routers[run.router].record_response(run.request, self.now) {
             self.tell(run.router, run.request);
         }
         self.end_watch(run);
@@ -335,7 +336,7 @@
 
     fn end_watch(&mut self, run: Run) {
         if run.is_watched {
-            self.routers[run.router].ends(run.request, self.now);
+            self.routers[run.router].record_send_end(run.request, self.now);
             self.tell(run.router, run.request);
         }
     }
@@ -349,7 +350,7 @@
         crashed.life = life;
         crashed.back_at = now + BACK_AFTER;
         for run in std::mem::take(&mut crashed.runs) {
-            self.routers[run.router].crashed(run.request, crash, run.sent, now);
+            self.routers[run.router].record_crash(run.request, crash, run.sent, now);
             self.end_watch(run);
             self.tell(run.router, run.request);
             if run.request != FATAL {
@@ -364,12 +365,12 @@
 
     /// Tells the others what a router knows of a request.
     fn tell(&mut self, router: usize, request: RequestDigest) {
-        let is_first = self.routers[router].crashes_of(request) < 2;
+        let is_first = self.routers[router].crash_count(request) < 2;
         let is_silent = matches!(self.way, Way::Uncounted | Way::Alone) || self.is_cut_off(router);
         if is_silent || self.way == Way::SecondTold && is_first {
             return;
         }
-        let known = self.routers[router].held().find(|(known, _)| *known == request);
+        let known = self.routers[router].histories().find(|(known, _)| *known == request);
         let Some(suspicion) = known.map(|(_, suspicion)| suspicion.clone()) else { return };
         for other in (0..self.routers.len()).filter(|other| *other != router) {
             if self.is_cut_off(other) {
--- a/crates/bendhinge_lab/src/bench/resting.rs
+++ b/crates/bendhinge_lab/src/bench/resting.rs
@@ -10,7 +10,10 @@
 use std::time::Duration;
 
 use bendhinge_admission::{FleetRetryBudget, RetryShare};
-use bendhinge_fleet::{Judge, JudgeLimits, LearnedFrom, LoadSaid, Loads, Rests, Standing, UpstreamFailure};
+use bendhinge_fleet::{
+    LearnedFrom, LoadSaid, Loads, OutlierDetector, OutlierLimits, RequestedBackoffs, UpstreamFailure,
+    UpstreamHealth,
+};
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_placement::{Candidate, CostRules, KeptParts, PartId, Prompt, PromptPart, Question, choose};
 use rand::{Rng, SeedableRng};
@@ -39,9 +42,9 @@
 const SUBJECTS_EACH: u64 = 8;
 const SUBJECT_TOKENS: u32 = 2_000;
 const MOST_SENDS: usize = 3;
-const JUDGED: JudgeLimits = JudgeLimits {
-    rest: Duration::from_millis(500),
-    longest_rest: Duration::from_secs(4),
+const JUDGED: OutlierLimits = OutlierLimits {
+    base_ejection: Duration::from_millis(500),
+    max_ejection: Duration::from_secs(4),
     half_life: Duration::from_secs(3),
 };
 const BUDGET: FleetRetryBudget = FleetRetryBudget { ratio: 0.2, slack: 58.0, span: Duration::from_secs(10) };
@@ -116,11 +119,11 @@
 }
 
 struct Router {
-    judge: Judge,
+    judge: OutlierDetector,
     /// Rests that this router was asked for.
-    rests: Rests,
+    rests: RequestedBackoffs,
     /// Rests that others were asked for.
-    told: Rests,
+    told: RequestedBackoffs,
     loads: Loads,
     kept: KeptParts,
     share: RetryShare,
@@ -153,9 +156,9 @@
 #[must_use]
 pub fn run(way: Way, scene: Scene, seed: u64) -> Seen {
     let router = || Router {
-        judge: Judge::new(JUDGED),
-        rests: Rests::default(),
-        told: Rests::default(),
+        judge: OutlierDetector::new(JUDGED),
+        rests: RequestedBackoffs::default(),
+        told: RequestedBackoffs::default(),
         loads: Loads::default(),
         kept: KeptParts::new(Duration::from_mins(1)),
         share: BUDGET.share(BUDGET.reserve(scene.routers), 0),
@@ -222,7 +225,7 @@
             Event::Answered { send, began, in_progress } => self.answered(&send, began, in_progress),
             Event::Told { router, upstream, end } => {
                 let (now, upstream) = (self.now, hash(upstream));
-                self.routers[router].told.asked(upstream, end.since(now), now);
+                self.routers[router].told.record(upstream, end.since(now), now);
             }
         }
     }
@@ -249,13 +252,13 @@
 
     fn candidate(&self, router: &Router, upstream: usize, mean: f32, tried: &[NameHash]) -> Candidate {
         let (now, hash) = (self.now, hash(upstream));
-        let standing = router.judge.standing(hash, now);
+        let standing = router.judge.health(hash, now);
         let failing = match standing {
-            Standing::Good { failing } => failing,
-            Standing::OnTrial | Standing::Resting => 0.0,
+            UpstreamHealth::Healthy { failure_rate } => failure_rate,
+            UpstreamHealth::ProbeAllowed | UpstreamHealth::Ejected => 0.0,
         };
-        let is_spared = router.rests.end(hash, now).is_some() || router.told.end(hash, now).is_some();
-        let takes_work = !tried.contains(&hash) && standing != Standing::Resting && !is_spared;
+        let is_spared = router.rests.ends_at(hash, now).is_some() || router.told.ends_at(hash, now).is_some();
+        let takes_work = !tried.contains(&hash) && standing != UpstreamHealth::Ejected && !is_spared;
         Candidate {
             upstream: hash,
             load: router.loads.estimate(hash, mean, now),
@@ -275,9 +278,9 @@
             upstreams.map(|upstream| self.candidate(router, upstream, mean, tried)).collect();
         if !candidates.iter().any(|candidate| candidate.takes_work) {
             for candidate in &mut candidates {
-                let is_told = router.told.end(candidate.upstream, self.now).is_some();
+                let is_told = router.told.ends_at(candidate.upstream, self.now).is_some();
                 candidate.takes_work = !tried.contains(&candidate.upstream)
-                    && router.rests.end(candidate.upstream, self.now).is_none()
+                    && router.rests.ends_at(candidate.upstream, self.now).is_none()
                     && !(self.way == Way::ToldAll && is_told);
             }
         }
@@ -299,7 +302,7 @@
         let chosen = hash(upstream);
         let sender = &mut self.routers[router];
         sender.loads.began(chosen);
-        sender.judge.sent(chosen, now);
+        sender.judge.record_send(chosen, now);
         sender.kept.read(chosen, &prompt, now);
         let hop = self.draw(HOP_MICROS);
         let mut tried = tried;
@@ -343,9 +346,9 @@
         let asker = &mut self.routers[router];
         asker.loads.ended(chosen, now.since(sent));
         if self.way != Way::Unread {
-            asker.rests.asked(chosen, REST, now);
+            asker.rests.record(chosen, REST, now);
         }
-        asker.judge.failed(chosen, UpstreamFailure::Shed, now);
+        asker.judge.record_failure(chosen, UpstreamFailure::Rejected, now);
         let may_go_on = asker.share.retry(now);
         let is_news = self.last_told[upstream].is_none_or(|last| now.since(last) > TOLD_EACH);
         if matches!(self.way, Way::ToldAll | Way::ToldAsHint) && is_news {
@@ -369,7 +372,7 @@
         let (now, upstream) = (self.now, hash(send.upstream));
         let sender = &mut self.routers[send.router];
         sender.loads.ended(upstream, now.since(began));
-        sender.judge.answered(upstream, now);
+        sender.judge.record_success(upstream, now);
         let said = LoadSaid { upstream, in_progress, at: now };
         // What upstreams say of their loads reaches all with the exchanges: here, those that hear of an answer.
         sender.loads.learn(said, LearnedFrom::Itself);
--- a/crates/bendhinge_peer/src/fleet/convert.rs
+++ b/crates/bendhinge_peer/src/fleet/convert.rs
@@ -231,18 +231,18 @@
     to.set_data_centre(entry.data_centre.as_str());
     to.set_slots(entry.slots);
     to.set_draining(entry.state == UpstreamState::Draining);
-    to.set_made(entry.made);
-    to.set_born(entry.born);
+    to.set_made(entry.created_revision);
+    to.set_born(entry.started_ms);
     to.set_software(entry.software.0);
     if let Some(warm_up) = entry.warm_up {
-        to.set_warm_up_left_millis(millis(warm_up.left));
-        to.set_warm_up_said(warm_up.said.0);
+        to.set_warm_up_left_millis(millis(warm_up.remaining));
+        to.set_warm_up_said(warm_up.revision.0);
     }
 }
 
 fn read_warm_up(from: upstream::Reader<'_>) -> Option<WarmUp> {
     let left = Duration::from_millis(from.get_warm_up_left_millis().into());
-    WarmUp::of(left, Revision(from.get_warm_up_said()))
+    WarmUp::new(left, Revision(from.get_warm_up_said()))
 }
 
 fn read_data_centre(name: capnp::text::Reader<'_>) -> Result<DataCentreName, Error> {
@@ -253,16 +253,16 @@
     let invalid = |_| Error::failed("an upstream's name is invalid".to_owned());
     let name: bendhinge_ids::UpstreamName = from.get_name()?.to_str()?.parse().map_err(invalid)?;
     Ok(UpstreamEntry {
-        hash: UpstreamEntry::life(&name, from.get_born()),
+        hash: UpstreamEntry::instance_hash(&name, from.get_born()),
         name,
-        born: from.get_born(),
+        started_ms: from.get_born(),
         software: NameHash(from.get_software()),
         pool: from.get_pool()?.to_str()?.parse().map_err(invalid)?,
         address: address(from.get_address(), from.get_port()),
         data_centre: read_data_centre(from.get_data_centre()?)?,
         slots: from.get_slots(),
         state: if from.get_draining() { UpstreamState::Draining } else { UpstreamState::Ready },
-        made: from.get_made(),
+        created_revision: from.get_made(),
         warm_up: read_warm_up(from),
     })
 }
--- a/crates/bendhinge_peer/src/fleet/mod.rs
+++ b/crates/bendhinge_peer/src/fleet/mod.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{
-    Doubt, Heard, Held, ListLoads, ListTold, MemberStates, NewsPosition, RosterDigest, UpstreamList, Version,
-    Witness,
+    FailureEvidence, FailureReport, Heard, Held, ListLoads, ListTold, MemberStates, NewsPosition,
+    RosterDigest, UpstreamList, Version,
 };
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_placement::PartId;
@@ -75,23 +75,24 @@
 impl ObservedDoubt {
     /// What is known at `now` of an upstream.
     #[must_use]
-    pub fn of(upstream: NameHash, doubt: &Doubt, now: Instant) -> Self {
+    pub fn of(upstream: NameHash, doubt: &FailureEvidence, now: Instant) -> Self {
         let failure =
-            |witness: &Witness| ObservedFailure { router: witness.router, age: now.since(witness.at) };
+            |witness: &FailureReport| ObservedFailure { router: witness.router, age: now.since(witness.at) };
         Self {
             upstream,
-            answered: doubt.answered.map(|answered| now.since(answered)),
-            witnesses: doubt.witnesses.iter().map(failure).collect(),
+            answered: doubt.last_response.map(|answered| now.since(answered)),
+            witnesses: doubt.reports.iter().map(failure).collect(),
         }
     }
 
     /// The same, its ages counted from `as_of`.
     #[must_use]
-    pub fn as_of(&self, as_of: Instant) -> Doubt {
-        let witness = |failure: &ObservedFailure| Witness { router: failure.router, at: as_of - failure.age };
-        Doubt {
-            answered: self.answered.map(|age| as_of - age),
-            witnesses: self.witnesses.iter().map(witness).collect(),
+    pub fn as_of(&self, as_of: Instant) -> FailureEvidence {
+        let witness =
+            |failure: &ObservedFailure| FailureReport { router: failure.router, at: as_of - failure.age };
+        FailureEvidence {
+            last_response: self.answered.map(|age| as_of - age),
+            reports: self.witnesses.iter().map(witness).collect(),
         }
     }
 }
--- a/crates/bendhinge_peer/src/fleet/suspicion.rs
+++ b/crates/bendhinge_peer/src/fleet/suspicion.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bendhinge_fleet::{Crash, Suspicion, UnderWay};
+use bendhinge_fleet::{Crash, CrashHistory, InFlightSends};
 use bendhinge_ids::{Instant, NameHash, RequestDigest, RequestHint};
 use capnp::Error;
 
@@ -47,39 +47,42 @@
 impl ObservedSuspicion {
     /// What is known at `now` of a request.
     #[must_use]
-    pub fn of(request: RequestDigest, suspicion: &Suspicion, now: Instant) -> Self {
+    pub fn of(request: RequestDigest, suspicion: &CrashHistory, now: Instant) -> Self {
         let crash = |crash: &Crash| ObservedCrash {
             upstream: crash.upstream,
             software: crash.software,
             age: now.since(crash.at),
         };
-        let sending = |said: &UnderWay| ObservedSends {
+        let sending = |said: &InFlightSends| ObservedSends {
             router: said.router,
-            sends: said.sends,
+            sends: said.count,
             age: now.since(said.at),
         };
         Self {
             request,
             crashes: suspicion.crashes.iter().map(crash).collect(),
-            answered: suspicion.answered.map(|answered| now.since(answered)),
-            under_way: suspicion.under_way.iter().map(sending).collect(),
+            answered: suspicion.last_response.map(|answered| now.since(answered)),
+            under_way: suspicion.in_flight.iter().map(sending).collect(),
         }
     }
 
     /// The same, its ages counted from `as_of`.
     #[must_use]
-    pub fn as_of(&self, as_of: Instant) -> Suspicion {
+    pub fn as_of(&self, as_of: Instant) -> CrashHistory {
         let crash = |crash: &ObservedCrash| Crash {
             upstream: crash.upstream,
             software: crash.software,
             at: as_of - crash.age,
         };
-        let sending =
-            |said: &ObservedSends| UnderWay { router: said.router, sends: said.sends, at: as_of - said.age };
-        Suspicion {
+        let sending = |said: &ObservedSends| InFlightSends {
+            router: said.router,
+            count: said.sends,
+            at: as_of - said.age,
+        };
+        CrashHistory {
             crashes: self.crashes.iter().map(crash).collect(),
-            answered: self.answered.map(|age| as_of - age),
-            under_way: self.under_way.iter().map(sending).collect(),
+            last_response: self.answered.map(|age| as_of - age),
+            in_flight: self.under_way.iter().map(sending).collect(),
         }
     }
 }
--- a/crates/bendhinge_peer/tests/list_pieces.rs
+++ b/crates/bendhinge_peer/tests/list_pieces.rs
@@ -58,7 +58,7 @@
         let name = format!("upstream-{number:05}");
         Arc::new(UpstreamEntry {
             hash: NameHash::of(&name),
-            born: 0,
+            started_ms: 0,
             software: NameHash::of("software"),
             name: name.parse().unwrap(),
             pool: "engines".parse().unwrap(),
@@ -66,7 +66,7 @@
             data_centre: "hall-1".parse().unwrap(),
             slots: 32,
             state: UpstreamState::Ready,
-            made: 3,
+            created_revision: 3,
             warm_up: None,
         })
     };
