--- a/crates/bendhinge_fleet/src/evidence.rs
+++ b/crates/bendhinge_fleet/src/evidence.rs
@@ -10,7 +10,7 @@
 use bendhinge_ids::{Instant, NameHash};
 use rustc_hash::FxHashMap;
 
-use crate::{LearnedFrom, UpstreamFailure};
+use crate::{UpdateSource, UpstreamFailure};
 
 /// How long a failure counts: some rounds of exchanges, so that it reaches everybody.
 const COUNTS_FOR: Duration = Duration::from_secs(3);
@@ -81,7 +81,7 @@
 
 /// A doubt with how it stood when it last changed.
 #[derive(Debug)]
-struct Held {
+struct VersionedValue {
     doubt: Doubt,
     /// How it stood when it last changed, which is what others were told.
     told: Doubt,
@@ -93,19 +93,19 @@
 struct Change {
     at: Instant,
     /// Who told of it, unless that one has to learn how the doubt stands.
-    by: LearnedFrom,
+    by: UpdateSource,
 }
 
-impl Held {
+impl VersionedValue {
     /// Notes whether others have to know how the doubt stands now, as `by` has it.
-    fn note_change(&mut self, by: LearnedFrom, now: Instant) {
+    fn note_change(&mut self, by: UpdateSource, now: Instant) {
         if self.doubt.differs(&self.told, now) {
             self.told.clone_from(&self.doubt);
             self.changed = Some(Change { at: now, by });
         }
     }
 
-    fn is_told(&self, listener: LearnedFrom, now: Instant) -> bool {
+    fn is_told(&self, listener: UpdateSource, now: Instant) -> bool {
         self.changed.is_some_and(|change| change.by != listener && now.since(change.at) < TOLD_FOR)
     }
 }
@@ -126,7 +126,7 @@
 pub struct Evidence {
     /// This router, as others know it.
     own: NameHash,
-    doubts: FxHashMap<NameHash, Held>,
+    doubts: FxHashMap<NameHash, VersionedValue>,
     /// This router's own last answers, also of upstreams that nobody doubts: they outweigh what it
     /// is told.
     own_answers: FxHashMap<NameHash, Instant>,
@@ -144,7 +144,7 @@
         self.own_answers.insert(upstream, now);
         if let Some(held) = self.doubts.get_mut(&upstream) {
             held.doubt.answered = held.doubt.answered.max(Some(now));
-            held.note_change(LearnedFrom::Itself, now);
+            held.note_change(UpdateSource::Local, now);
         }
     }
 
@@ -161,17 +161,21 @@
         let witness = Witness { router: self.own, at };
         let held = self.held(upstream);
         held.doubt.add(witness);
-        held.note_change(LearnedFrom::Itself, now);
+        held.note_change(UpdateSource::Local, now);
     }
 
-    fn held(&mut self, upstream: NameHash) -> &mut Held {
+    fn held(&mut self, upstream: NameHash) -> &mut VersionedValue {
         let answered = self.own_answers.get(&upstream).copied();
         let none = || Doubt { answered, witnesses: Vec::new() };
-        self.doubts.entry(upstream).or_insert_with(|| Held { doubt: none(), told: none(), changed: None })
+        self.doubts.entry(upstream).or_insert_with(|| VersionedValue {
+            doubt: none(),
+            told: none(),
+            changed: None,
+        })
     }
 
     /// Takes in what another router, `from`, knows of an upstream.
-    pub fn hear(&mut self, upstream: NameHash, heard: &Doubt, from: LearnedFrom, now: Instant) -> Verdict {
+    pub fn hear(&mut self, upstream: NameHash, heard: &Doubt, from: UpdateSource, now: Instant) -> Verdict {
         let held = self.held(upstream);
         let doubt = &mut held.doubt;
         let was_suspect = doubt.is_suspect(now);
@@ -181,7 +185,7 @@
         let is_news_to_sender = doubt.strength(now) != heard.strength(now);
         held.note_change(from, now);
         if is_news_to_sender {
-            held.changed = Some(Change { at: now, by: LearnedFrom::Itself });
+            held.changed = Some(Change { at: now, by: UpdateSource::Local });
         }
         match (was_suspect, is_suspect) {
             (false, true) => Verdict::Suspect,
@@ -193,7 +197,7 @@
     /// What changed lately of upstreams that fail, to tell `listener`.
     pub fn doubts_for(
         &self,
-        listener: LearnedFrom,
+        listener: UpdateSource,
         now: Instant,
     ) -> impl Iterator<Item = (NameHash, &Doubt)> {
         let told = self.doubts.iter().filter(move |(_, held)| held.is_told(listener, now));
@@ -203,7 +207,7 @@
     /// Forgets failures that count no more, and upstreams that are gone.
     pub fn prune(&mut self, listed: impl Fn(NameHash) -> bool, now: Instant) {
         self.own_answers.retain(|upstream, _| listed(*upstream));
-        self.doubts.retain(|upstream, Held { doubt, .. }| {
+        self.doubts.retain(|upstream, VersionedValue { doubt, .. }| {
             doubt.witnesses.retain(|witness| now.since(witness.at) < COUNTS_FOR);
             listed(*upstream) && !doubt.witnesses.is_empty()
         });
--- a/crates/bendhinge_fleet/src/fetch.rs
+++ b/crates/bendhinge_fleet/src/fetch.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use crate::belief::Version;
+use crate::replica::Version;
 
 /// Somebody who holds a version that was lacking when it told of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holder {
+pub struct FetchSource {
     /// Where it is reached.
     pub address: SocketAddr,
     /// What it holds.
@@ -17,34 +17,34 @@
 /// delay both; but the first may be older, or never come.
 #[derive(Debug, Default)]
 pub struct FetchPlan {
-    is_under_way: bool,
+    is_in_flight: bool,
     /// Who told of the newest version meanwhile.
-    next: Option<Holder>,
+    pending: Option<FetchSource>,
 }
 
 impl FetchPlan {
     /// Notes that `holder` told of what it holds; `true` if a fetch is to begin with [`FetchPlan::next`].
     /// Who holds nothing that `lacks` here is not remembered in the place of one that does.
     #[must_use]
-    pub fn told(&mut self, holder: Holder, lacks: impl Fn(Version) -> bool) -> bool {
-        let is_older = |next: Holder| next.version.revision > holder.version.revision;
-        if !lacks(holder.version) || self.next.is_some_and(is_older) {
+    pub fn announce(&mut self, source: FetchSource, needs: impl Fn(Version) -> bool) -> bool {
+        let is_older = |pending: FetchSource| pending.version.revision > source.version.revision;
+        if !needs(source.version) || self.pending.is_some_and(is_older) {
             return false;
         }
-        self.next = Some(holder);
-        !std::mem::replace(&mut self.is_under_way, true)
+        self.pending = Some(source);
+        !std::mem::replace(&mut self.is_in_flight, true)
     }
 
     /// Whom to fetch from next, if what it holds still `lacks`; `None` ends it.
-    pub fn next(&mut self, lacks: impl Fn(Version) -> bool) -> Option<Holder> {
-        let next = self.next.take().filter(|holder| lacks(holder.version));
-        self.is_under_way = next.is_some();
+    pub fn next_source(&mut self, needs: impl Fn(Version) -> bool) -> Option<FetchSource> {
+        let next = self.pending.take().filter(|source| needs(source.version));
+        self.is_in_flight = next.is_some();
         next
     }
 
     /// Notes that a fetch was given up before its end: whoever tells next begins another.
-    pub const fn given_up(&mut self) {
-        self.is_under_way = false;
-        self.next = None;
+    pub const fn cancel(&mut self) {
+        self.is_in_flight = false;
+        self.pending = None;
     }
 }
--- a/crates/bendhinge_fleet/src/lists.rs
+++ b/crates/bendhinge_fleet/src/lists.rs
@@ -16,30 +16,30 @@
 
 /// Lists that are remembered for peers that hold an older one. A peer that missed more changes than that
 /// fetches the list whole.
-const REMEMBERED: usize = 12;
+const MAX_LISTS: usize = 12;
 
 /// What differs between two lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ListChanges {
+pub struct ListDelta {
     /// Upstreams that are not listed any more, by their hashes.
-    pub gone: Vec<NameHash>,
+    pub removed: Vec<NameHash>,
     /// Entries that are new or differ.
-    pub came: Vec<Arc<UpstreamEntry>>,
+    pub upserted: Vec<Arc<UpstreamEntry>>,
     /// The data centres that are drained now, all of them.
     pub drained: Vec<DataCentreName>,
 }
 
 /// A list as it is told to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ListTold {
+pub enum ListUpdate {
     /// All of it.
-    Whole(UpstreamList),
+    Full(UpstreamList),
     /// What changed since the list whose digest is `base`.
-    Changes {
+    Delta {
         /// The digest of the list that the peer holds.
         base: u64,
         /// What changed.
-        changes: ListChanges,
+        delta: ListDelta,
     },
 }
 
@@ -54,46 +54,50 @@
 
     /// What has to change in `base` to become this list.
     #[must_use]
-    pub fn changes_since(&self, base: &Self) -> ListChanges {
+    pub fn delta_from(&self, base: &Self) -> ListDelta {
         let (now, before) = (by_hash(self), by_hash(base));
-        let gone = base.entries.iter().map(|entry| entry.hash).filter(|hash| !now.contains_key(hash));
+        let removed = base.entries.iter().map(|entry| entry.hash).filter(|hash| !now.contains_key(hash));
         let is_same = |entry: &&Arc<UpstreamEntry>| before.get(&entry.hash).is_some_and(|old| old == entry);
-        let came = self.entries.iter().filter(|entry| !is_same(entry)).cloned();
-        ListChanges { gone: gone.collect(), came: came.collect(), drained: self.drained.clone() }
+        let upserted = self.entries.iter().filter(|entry| !is_same(entry)).cloned();
+        ListDelta { removed: removed.collect(), upserted: upserted.collect(), drained: self.drained.clone() }
     }
 
     /// This list with `changes` made.
     #[must_use]
-    pub fn with(&self, changes: &ListChanges) -> Self {
-        let came = changes.came.iter().map(|entry| entry.hash);
-        let replaced: FxHashSet<NameHash> = changes.gone.iter().copied().chain(came).collect();
+    pub fn apply(&self, delta: &ListDelta) -> Self {
+        let upserted = delta.upserted.iter().map(|entry| entry.hash);
+        let replaced: FxHashSet<NameHash> = delta.removed.iter().copied().chain(upserted).collect();
         let is_replaced = |entry: &UpstreamEntry| replaced.contains(&entry.hash);
-        self.replacing(is_replaced, changes.came.iter().cloned(), changes.drained.clone())
+        self.replace_entries(is_replaced, delta.upserted.iter().cloned(), delta.drained.clone())
     }
 
     /// This list after the store wrote the entries that `came` and removed those that are `gone`, with these data
     /// centres `drained`. An entry replaces all lives of the upstream that it names.
     #[must_use]
-    pub fn updated(
+    pub fn with_store_changes(
         &self,
-        came: Vec<UpstreamEntry>,
-        gone: &[UpstreamName],
+        upserted: Vec<UpstreamEntry>,
+        removed: &[UpstreamName],
         drained: Vec<DataCentreName>,
     ) -> Self {
-        let names = came.iter().map(|entry| &entry.name).chain(gone);
+        let names = upserted.iter().map(|entry| &entry.name).chain(removed);
         let replaced: FxHashSet<UpstreamName> = names.cloned().collect();
-        self.replacing(|entry| replaced.contains(&entry.name), came.into_iter().map(Arc::new), drained)
+        self.replace_entries(
+            |entry| replaced.contains(&entry.name),
+            upserted.into_iter().map(Arc::new),
+            drained,
+        )
     }
 
     /// This list without the entries that are replaced, and with those that `came`.
-    fn replacing(
+    fn replace_entries(
         &self,
         is_replaced: impl Fn(&UpstreamEntry) -> bool,
-        came: impl Iterator<Item = Arc<UpstreamEntry>>,
+        upserted: impl Iterator<Item = Arc<UpstreamEntry>>,
         drained: Vec<DataCentreName>,
     ) -> Self {
-        let stays = self.entries.iter().filter(|entry| !is_replaced(entry)).cloned();
-        let mut entries: Vec<_> = stays.chain(came).collect();
+        let retained = self.entries.iter().filter(|entry| !is_replaced(entry)).cloned();
+        let mut entries: Vec<_> = retained.chain(upserted).collect();
         entries.sort_by(|left, right| left.name.cmp(&right.name));
         Self { entries, drained }
     }
@@ -101,7 +105,7 @@
     /// The same list, whose entries are shared with `other` where they are equal: lists that follow each
     /// other are mostly alike, and several are held at a time.
     #[must_use]
-    pub fn sharing(self, other: &Self) -> Self {
+    pub fn share_entries_with(self, other: &Self) -> Self {
         let before = by_hash(other);
         let shared = self.entries.into_iter().map(|entry| match before.get(&entry.hash) {
             Some(old) if **old == entry => Arc::clone(old),
@@ -121,9 +125,9 @@
 
 impl ListHistory {
     /// Remembers a list that is held.
-    pub fn remember(&mut self, digest: u64, list: &Arc<UpstreamList>) {
+    pub fn push(&mut self, digest: u64, list: &Arc<UpstreamList>) {
         self.0.retain(|(known, _)| *known != digest);
-        if self.0.len() == REMEMBERED {
+        if self.0.len() == MAX_LISTS {
             self.0.pop_front();
         }
         self.0.push_back((digest, Arc::clone(list)));
@@ -137,9 +141,9 @@
 
     /// `list` as it is told to a peer that holds the one whose digest is `base`.
     #[must_use]
-    pub fn tell(&self, list: &UpstreamList, base: Option<u64>) -> ListTold {
+    pub fn update_for(&self, list: &UpstreamList, base: Option<u64>) -> ListUpdate {
         let known = base.and_then(|base| Some((base, self.get(base)?)));
-        let Some((base, known)) = known else { return ListTold::Whole(list.clone()) };
-        ListTold::Changes { base, changes: list.changes_since(known) }
+        let Some((base, known)) = known else { return ListUpdate::Full(list.clone()) };
+        ListUpdate::Delta { base, delta: list.delta_from(known) }
     }
 }
--- a/crates/bendhinge_fleet/src/loads.rs
+++ b/crates/bendhinge_fleet/src/loads.rs
@@ -1,6 +1,6 @@
 //! How many requests are believed to be at each upstream.
 
-mod high;
+mod highest;
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -8,138 +8,139 @@
 use bendhinge_ids::{Instant, NameHash};
 use rustc_hash::FxHashMap;
 
-pub use self::high::HighLoads;
+pub use self::highest::PackedHighLoads;
 use crate::directory::UpstreamList;
-use crate::news::LearnedFrom;
+use crate::update_log::UpdateSource;
 
 /// After this time what an upstream said of others' requests counts for nothing in the mean.
-const COUNTS_FOR: Duration = Duration::from_secs(4);
+const MEAN_MAX_AGE: Duration = Duration::from_secs(4);
 /// How long what an upstream said goes on telling of it, in units of the time that its requests take to end from
 /// any moment on. Requests come and go, so that a report says ever less; but some upstreams have more than
 /// others for as long as they are the homes of much that is asked for.
-const OUTLASTS: f32 = 1.5;
+const FADE_FACTOR: f32 = 1.5;
 /// Requests that last longer are counted as this: one that hangs says nothing of the others.
-const LONGEST: f32 = 5.0;
+const MAX_DURATION_SECS: f32 = 5.0;
 /// Reports older than this are not passed on.
-const TOLD_FOR: Duration = Duration::from_millis(2_500);
-/// The unit of an age among [`LoadStates`]: the oldest that is passed on takes 250 of them.
-const STATE_AGE: Duration = Duration::from_millis(10);
-/// A load among [`LoadStates`] of which there is nothing to tell.
-const NOTHING: u8 = u8::MAX;
+const SHARE_MAX_AGE: Duration = Duration::from_millis(2_500);
+/// The unit of an age among [`PackedLoads`]: the oldest that is passed on takes 250 of them.
+const PACKED_AGE_UNIT: Duration = Duration::from_millis(10);
+/// A load among [`PackedLoads`] of which there is nothing to tell.
+const NO_REPORT: u8 = u8::MAX;
 
 #[derive(Clone, Copy, Debug)]
-struct Report {
+struct LatestReport {
     in_progress: u32,
-    at: Instant,
-    from: LearnedFrom,
+    reported_at: Instant,
+    source: UpdateSource,
 }
 
-impl Report {
+impl LatestReport {
     /// Whether it is told to `listener`: not what it told itself, nor what is old.
-    fn is_told_to(&self, listener: LearnedFrom, now: Instant) -> bool {
-        self.from != listener && now.since(self.at) < TOLD_FOR
+    fn is_shared_with(&self, receiver: UpdateSource, now: Instant) -> bool {
+        self.source != receiver && now.since(self.reported_at) < SHARE_MAX_AGE
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Load {
+struct LoadState {
     /// This router's requests there.
     own: u32,
     /// All requests there as it said last.
-    said: Option<Report>,
+    report: Option<LatestReport>,
     /// Others' requests there, as it said then.
     others: u32,
 }
 
 /// What an upstream said of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoadSaid {
+pub struct UpstreamLoad {
     /// The upstream.
     pub upstream: NameHash,
     /// Requests there, running and waiting.
     pub in_progress: u32,
     /// When it said so.
-    pub at: Instant,
+    pub reported_at: Instant,
 }
 
 /// The loads of all upstreams of a list that both ends hold, in its order: first the requests at each in a
 /// byte, at most 254, then how old each is. A load takes two bytes so; with the upstream's hash it takes
 /// some ten, of which hardly any can be compressed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LoadStates(pub Vec<u8>);
+pub struct PackedLoads(pub Vec<u8>);
 
 /// Loads as they are told to one that holds the same list of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListLoads {
     /// That of each.
-    Each(LoadStates),
+    All(PackedLoads),
     /// The highest, of a long list.
-    Highest(HighLoads),
+    Highest(PackedHighLoads),
 }
 
 /// Lists of more upstreams are told by their highest loads.
-const MOST_TOLD_EACH: usize = 512;
+const MAX_SHARED_LOADS: usize = 512;
 
 /// How long requests last, in seconds, with those of the past fading by each new one.
 #[derive(Clone, Copy, Debug)]
-struct Lasting {
+struct DurationStats {
     sum: f32,
-    squares: f32,
+    sum_of_squares: f32,
 }
 
-impl Lasting {
+impl DurationStats {
     /// As if requests of two seconds had been seen: one second is left of those at any moment.
-    const AT_FIRST: Self = Self { sum: 2.0, squares: 4.0 };
+    const INITIAL: Self = Self { sum: 2.0, sum_of_squares: 4.0 };
     /// What is left of the past after a request: some hundred count.
-    const KEPT: f32 = 0.99;
+    const DECAY: f32 = 0.99;
 
-    fn note(&mut self, lasted: Duration) {
-        let lasted = lasted.as_secs_f32().min(LONGEST);
-        self.sum = self.sum * Self::KEPT + lasted;
-        self.squares = self.squares * Self::KEPT + lasted * lasted;
+    fn add(&mut self, duration: Duration) {
+        let duration = duration.as_secs_f32().min(MAX_DURATION_SECS);
+        self.sum = self.sum * Self::DECAY + duration;
+        self.sum_of_squares = self.sum_of_squares * Self::DECAY + duration * duration;
     }
 
     /// How long those that are there at any moment go on on average, in seconds: that is more than half of the mean,
     /// since the long ones are met more often.
-    fn left(self) -> f32 {
-        self.squares / (2.0 * self.sum.max(f32::MIN_POSITIVE))
+    fn mean_remaining_secs(self) -> f32 {
+        self.sum_of_squares / (2.0 * self.sum.max(f32::MIN_POSITIVE))
     }
 }
 
 /// The loads of all upstreams.
 #[derive(Debug)]
 pub struct Loads {
-    upstreams: FxHashMap<NameHash, Load>,
-    lasting: Lasting,
+    upstreams: FxHashMap<NameHash, LoadState>,
+    durations: DurationStats,
 }
 
 impl Default for Loads {
     fn default() -> Self {
-        Self { upstreams: FxHashMap::default(), lasting: Lasting::AT_FIRST }
+        Self { upstreams: FxHashMap::default(), durations: DurationStats::INITIAL }
     }
 }
 
 impl Loads {
     /// Notes that a request of this router goes to an upstream.
-    pub fn began(&mut self, upstream: NameHash) {
+    pub fn start_request(&mut self, upstream: NameHash) {
         self.upstreams.entry(upstream).or_default().own += 1;
     }
 
     /// Notes that a request of this router has ended there after so long.
-    pub fn ended(&mut self, upstream: NameHash, lasted: Duration) {
+    pub fn end_request(&mut self, upstream: NameHash, duration: Duration) {
         if let Some(load) = self.upstreams.get_mut(&upstream) {
             load.own = load.own.saturating_sub(1);
-            if load.said.is_some() {
-                self.lasting.note(lasted);
+            if load.report.is_some() {
+                self.durations.add(duration);
             }
         }
     }
 
     /// Takes in what an upstream said, to this router or to another.
-    pub fn learn(&mut self, said: LoadSaid, from: LearnedFrom) {
+    pub fn record(&mut self, said: UpstreamLoad, source: UpdateSource) {
         let load = self.upstreams.entry(said.upstream).or_default();
-        if load.said.is_none_or(|before| said.at > before.at) {
-            load.said = Some(Report { in_progress: said.in_progress, at: said.at, from });
+        if load.report.is_none_or(|known| said.reported_at > known.reported_at) {
+            load.report =
+                Some(LatestReport { in_progress: said.in_progress, reported_at: said.reported_at, source });
             load.others = said.in_progress.saturating_sub(load.own);
         }
     }
@@ -156,55 +157,60 @@
     #[must_use]
     pub fn estimate(&self, upstream: NameHash, mean: f32, now: Instant) -> f32 {
         let load = self.upstreams.get(&upstream).copied().unwrap_or_default();
-        let fades_within = OUTLASTS * self.lasting.left();
-        let left = |report: Report| (-now.since(report.at).as_secs_f32() / fades_within).exp();
-        let left = load.said.map_or(0.0, left);
-        load.own as f32 + load.others as f32 * left + mean * (1.0 - left)
+        let fade_secs = FADE_FACTOR * self.durations.mean_remaining_secs();
+        let weight = |report: LatestReport| (-now.since(report.reported_at).as_secs_f32() / fade_secs).exp();
+        let weight = load.report.map_or(0.0, weight);
+        load.own as f32 + load.others as f32 * weight + mean * (1.0 - weight)
     }
 
     /// What the others have at an upstream on average, by what upstreams said lately.
     pub fn mean_of_others(&self, upstreams: impl Iterator<Item = NameHash>, now: Instant) -> f32 {
         let loads = upstreams.filter_map(|upstream| self.upstreams.get(&upstream));
-        let lately = loads.filter(|load| load.said.is_some_and(|said| now.since(said.at) < COUNTS_FOR));
+        let recent =
+            loads.filter(|load| load.report.is_some_and(|said| now.since(said.reported_at) < MEAN_MAX_AGE));
         let (count, total) =
-            lately.fold((0_u32, 0_u32), |(count, total), load| (count + 1, total + load.others));
+            recent.fold((0_u32, 0_u32), |(count, total), load| (count + 1, total + load.others));
         total as f32 / count.max(1) as f32
     }
 
     /// What upstreams said lately, for telling others; of many the highest.
     #[must_use]
-    pub fn to_tell(&self, now: Instant) -> Vec<LoadSaid> {
+    pub fn recent_reports(&self, now: Instant) -> Vec<UpstreamLoad> {
         let said = self.upstreams.iter().filter_map(|(upstream, load)| {
-            let Report { in_progress, at, .. } = load.said?;
-            (now.since(at) < TOLD_FOR).then_some(LoadSaid { upstream: *upstream, in_progress, at })
+            let LatestReport { in_progress, reported_at, .. } = load.report?;
+            (now.since(reported_at) < SHARE_MAX_AGE).then_some(UpstreamLoad {
+                upstream: *upstream,
+                in_progress,
+                reported_at,
+            })
         });
-        let mut told: Vec<LoadSaid> = said.collect();
-        keep_highest(&mut told, MOST_TOLD_EACH, |said| (said.in_progress, said.at));
-        told
+        let mut shared: Vec<UpstreamLoad> = said.collect();
+        truncate_to_highest(&mut shared, MAX_SHARED_LOADS, |said| (said.in_progress, said.reported_at));
+        shared
     }
 
     /// What upstreams said lately, for telling `listener`, who holds the same `list` of them.
     #[must_use]
-    pub fn told_to(&self, listener: LearnedFrom, list: &UpstreamList, now: Instant) -> ListLoads {
+    pub fn pack_for(&self, receiver: UpdateSource, list: &UpstreamList, now: Instant) -> ListLoads {
         let upstreams = list.entries.iter().map(|entry| entry.hash);
-        if upstreams.len() > MOST_TOLD_EACH {
-            ListLoads::Highest(self.highest_for(listener, upstreams, now))
+        if upstreams.len() > MAX_SHARED_LOADS {
+            ListLoads::Highest(self.pack_highest_for(receiver, upstreams, now))
         } else {
-            ListLoads::Each(self.states_for(listener, upstreams, now))
+            ListLoads::All(self.pack_all_for(receiver, upstreams, now))
         }
     }
 
     /// Takes in what a router that holds the same `list` told, its ages counted from `as_of`.
-    pub fn hear(&mut self, told: &ListLoads, list: &UpstreamList, from: LearnedFrom, as_of: Instant) {
-        match told {
-            ListLoads::Each(states) => {
-                self.hear_states(states, list.entries.iter().map(|entry| entry.hash), from, as_of);
+    pub fn apply(&mut self, shared: &ListLoads, list: &UpstreamList, source: UpdateSource, as_of: Instant) {
+        match shared {
+            ListLoads::All(states) => {
+                self.apply_all(states, list.entries.iter().map(|entry| entry.hash), source, as_of);
             }
             ListLoads::Highest(loads) => {
-                self.hear_highest(
+                self.apply_highest(
                     loads,
-                    |place| list.entries.get(place).map(|entry| entry.hash),
-                    from,
+                    |index| list.entries.get(index).map(|entry| entry.hash),
+                    source,
                     as_of,
                 );
             }
@@ -213,64 +219,64 @@
 
     /// What upstreams said lately, for telling `listener`, who holds the same list of `upstreams`: of each
     /// but what it told itself.
-    pub fn states_for(
+    pub fn pack_all_for(
         &self,
-        listener: LearnedFrom,
+        receiver: UpdateSource,
         upstreams: impl Iterator<Item = NameHash>,
         now: Instant,
-    ) -> LoadStates {
+    ) -> PackedLoads {
         let reports = upstreams.map(|upstream| {
-            self.upstreams.get(&upstream)?.said.filter(|report| report.is_told_to(listener, now))
+            self.upstreams.get(&upstream)?.report.filter(|report| report.is_shared_with(receiver, now))
         });
         let (mut loads, mut ages) = (Vec::new(), Vec::new());
         for report in reports {
-            loads.push(report.map_or(NOTHING, |report| load_state(report.in_progress)));
-            ages.push(report.map_or(NOTHING, |report| age_state(now.since(report.at))));
+            loads.push(report.map_or(NO_REPORT, |report| pack_load(report.in_progress)));
+            ages.push(report.map_or(NO_REPORT, |report| pack_age(now.since(report.reported_at))));
         }
         loads.append(&mut ages);
-        LoadStates(loads)
+        PackedLoads(loads)
     }
 
     /// Takes in what a router that holds the same list of `upstreams` told, its ages counted from `as_of`.
     /// States of another length are of another list: nothing is taken of them.
-    pub fn hear_states(
+    pub fn apply_all(
         &mut self,
-        states: &LoadStates,
+        states: &PackedLoads,
         upstreams: impl ExactSizeIterator<Item = NameHash>,
-        from: LearnedFrom,
+        source: UpdateSource,
         as_of: Instant,
     ) {
         let (loads, ages) = states.0.split_at(states.0.len() / 2);
         if loads.len() != upstreams.len() || ages.len() != upstreams.len() {
             return;
         }
-        let told = upstreams.zip(loads.iter().zip(ages)).filter(|(_, (load, _))| **load != NOTHING);
-        for (upstream, (load, age)) in told {
-            let at = as_of - STATE_AGE * u32::from(*age);
-            self.learn(LoadSaid { upstream, in_progress: u32::from(*load), at }, from);
+        let shared = upstreams.zip(loads.iter().zip(ages)).filter(|(_, (load, _))| **load != NO_REPORT);
+        for (upstream, (load, age)) in shared {
+            let reported_at = as_of - PACKED_AGE_UNIT * u32::from(*age);
+            self.record(UpstreamLoad { upstream, in_progress: u32::from(*load), reported_at }, source);
         }
     }
 
     /// Forgets upstreams that are not listed and have no request of this router.
-    pub fn keep_only(&mut self, listed: impl Fn(NameHash) -> bool) {
+    pub fn retain_listed(&mut self, listed: impl Fn(NameHash) -> bool) {
         self.upstreams.retain(|upstream, load| load.own > 0 || listed(*upstream));
     }
 }
 
 /// Keeps the highest `most` of what was said, of equal ones the latest.
-fn keep_highest<T>(told: &mut Vec<T>, most: usize, load: impl Fn(&T) -> (u32, Instant)) {
-    if told.len() > most {
-        told.sort_unstable_by_key(|said| Reverse(load(said)));
-        told.truncate(most);
+fn truncate_to_highest<T>(shared: &mut Vec<T>, limit: usize, load: impl Fn(&T) -> (u32, Instant)) {
+    if shared.len() > limit {
+        shared.sort_unstable_by_key(|said| Reverse(load(said)));
+        shared.truncate(limit);
     }
 }
 
-fn load_state(in_progress: u32) -> u8 {
-    u8::try_from(in_progress).unwrap_or(NOTHING).min(NOTHING - 1)
+fn pack_load(in_progress: u32) -> u8 {
+    u8::try_from(in_progress).unwrap_or(NO_REPORT).min(NO_REPORT - 1)
 }
 
 /// An age is never stated as less than it is.
-fn age_state(age: Duration) -> u8 {
-    let units = age.as_millis().div_ceil(STATE_AGE.as_millis());
+fn pack_age(age: Duration) -> u8 {
+    let units = age.as_millis().div_ceil(PACKED_AGE_UNIT.as_millis());
     u8::try_from(units).unwrap_or(u8::MAX)
 }
--- a/crates/bendhinge_fleet/src/quarantine.rs
+++ b/crates/bendhinge_fleet/src/quarantine.rs
@@ -15,7 +15,7 @@
 use bendhinge_ids::{Instant, NameHash, RequestDigest, RequestHint};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::LearnedFrom;
+use crate::UpdateSource;
 
 /// Upstreams that may crash under one request. One crash is chance: all that ran there was lost with it. After the
 /// third in a row without an answer, another upstream is more than its answer is worth.
@@ -184,7 +184,7 @@
 
 /// A suspicion with how it changed last.
 #[derive(Debug)]
-struct Held {
+struct VersionedValue {
     suspicion: Suspicion,
     changed: Change,
 }
@@ -193,7 +193,7 @@
 struct Change {
     at: Instant,
     /// Who told of it.
-    by: LearnedFrom,
+    by: UpdateSource,
 }
 
 /// The suspected requests as one router knows them.
@@ -201,7 +201,7 @@
 pub struct Quarantine {
     /// This router, as others know it.
     own: NameHash,
-    held: FxHashMap<RequestDigest, Held>,
+    held: FxHashMap<RequestDigest, VersionedValue>,
     /// How many of them have each hint.
     hints: FxHashMap<RequestHint, u32>,
     /// Of all that is always told.
@@ -232,7 +232,7 @@
     /// Whether a request may be sent now.
     #[must_use]
     pub fn permission(&self, request: RequestDigest, now: Instant) -> Permission {
-        let Some(Held { suspicion, .. }) = self.held.get(&request) else { return Permission::Free };
+        let Some(VersionedValue { suspicion, .. }) = self.held.get(&request) else { return Permission::Free };
         let counted = self.counted(suspicion);
         if counted < WATCHED_FROM {
             return Permission::Free;
@@ -271,7 +271,7 @@
     /// Whether an upstream crashed under a request that is under quarantine and was in more crashes than
     /// `strength`, that of another request that it ran.
     fn is_explained(&self, upstream: NameHash, strength: usize) -> bool {
-        self.held.values().any(|Held { suspicion, .. }| {
+        self.held.values().any(|VersionedValue { suspicion, .. }| {
             let other = suspicion.strength();
             other >= MOST_CRASHES && other > strength && suspicion.is_crashed_by(upstream)
         })
@@ -289,7 +289,7 @@
 
     fn change_own_sends(&mut self, request: RequestDigest, now: Instant, change: impl Fn(u8) -> u8) {
         let router = self.own;
-        self.change(request, LearnedFrom::Itself, now, |suspicion| {
+        self.change(request, UpdateSource::Local, now, |suspicion| {
             let own = suspicion.under_way.iter().find(|known| known.router == router);
             let sends = change(own.map_or(0, |own| own.sends));
             // Two changes within one tick of the clock are in their order.
@@ -301,7 +301,7 @@
     /// Notes that an upstream crashed under a request that this router had sent at `sent`; `false` if it was
     /// known, or is one of too many.
     pub fn crashed(&mut self, request: RequestDigest, crash: Crash, sent: Instant, now: Instant) -> bool {
-        self.take(request, LearnedFrom::Itself, now, |suspicion| {
+        self.take(request, UpdateSource::Local, now, |suspicion| {
             let upstream = suspicion.life_at(crash.upstream, sent);
             suspicion.add(Crash { upstream, ..crash })
         })
@@ -309,7 +309,7 @@
 
     /// Notes that an upstream gave a whole answer to a request; `true` if that ends a suspicion.
     pub fn answered(&mut self, request: RequestDigest, now: Instant) -> bool {
-        self.change(request, LearnedFrom::Itself, now, |suspicion| {
+        self.change(request, UpdateSource::Local, now, |suspicion| {
             let was_suspected = suspicion.strength() > 0;
             suspicion.answered = Some(now);
             was_suspected
@@ -321,7 +321,7 @@
         &mut self,
         request: RequestDigest,
         heard: &Suspicion,
-        from: LearnedFrom,
+        from: UpdateSource,
         now: Instant,
     ) -> bool {
         let own = self.own;
@@ -346,7 +346,7 @@
     fn change(
         &mut self,
         request: RequestDigest,
-        by: LearnedFrom,
+        by: UpdateSource,
         now: Instant,
         change: impl FnOnce(&mut Suspicion) -> bool,
     ) -> bool {
@@ -364,7 +364,7 @@
     fn take(
         &mut self,
         request: RequestDigest,
-        by: LearnedFrom,
+        by: UpdateSource,
         now: Instant,
         change: impl FnOnce(&mut Suspicion) -> bool,
     ) -> bool {
@@ -377,7 +377,7 @@
             return false;
         }
         self.digest ^= suspicion.digest(request);
-        self.held.insert(request, Held { suspicion, changed: Change { at: now, by } });
+        self.held.insert(request, VersionedValue { suspicion, changed: Change { at: now, by } });
         *self.hints.entry(request.hint()).or_default() += 1;
         true
     }
@@ -388,7 +388,7 @@
         if self.held.len() < MOST_SUSPECTED {
             return true;
         }
-        let weight = |held: &Held| (held.suspicion.strength(), held.suspicion.last_crash());
+        let weight = |held: &VersionedValue| (held.suspicion.strength(), held.suspicion.last_crash());
         let weakest = self.held.iter().min_by_key(|(_, held)| weight(held));
         let Some((request, held)) = weakest else { return true };
         if held.suspicion.strength() >= suspicion.strength() {
@@ -414,13 +414,13 @@
     /// others if it `tells_on`.
     pub fn changes(
         &self,
-        listener: LearnedFrom,
+        listener: UpdateSource,
         since: Instant,
         tells_on: bool,
     ) -> impl Iterator<Item = (RequestDigest, &Suspicion)> {
-        let is_told = move |held: &Held| {
+        let is_told = move |held: &VersionedValue| {
             let Change { at, by } = held.changed;
-            at > since && by != listener && (tells_on || by == LearnedFrom::Itself)
+            at > since && by != listener && (tells_on || by == UpdateSource::Local)
         };
         self.held().filter(move |(request, _)| self.held.get(request).is_some_and(is_told))
     }
--- a/crates/bendhinge_fleet/src/belief.rs
+++ b/crates/bendhinge_fleet/src/replica.rs
@@ -35,7 +35,7 @@
 
 /// A value that is held.
 #[derive(Clone, Debug)]
-pub struct Held<T> {
+pub struct VersionedValue<T> {
     /// Which one it is.
     pub version: Version,
     /// The value.
@@ -50,89 +50,96 @@
 
 /// What became of an offered value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum UpdateOutcome {
     /// It is newer and is held now.
-    New,
+    Updated,
     /// It is the one that is held, which is known to be current as of a later instant.
     Confirmed,
     /// It is older, or known already.
-    Old,
+    Stale,
 }
 
 /// What is believed; at first nothing.
 #[derive(Debug)]
-pub struct Belief<T>(Option<Held<T>>);
+pub struct Replica<T>(Option<VersionedValue<T>>);
 
-impl<T> Default for Belief<T> {
+impl<T> Default for Replica<T> {
     fn default() -> Self {
         Self(None)
     }
 }
 
-impl<T> Belief<T> {
+impl<T> Replica<T> {
     /// What is held.
     #[must_use]
-    pub const fn held(&self) -> Option<&Held<T>> {
+    pub const fn current(&self) -> Option<&VersionedValue<T>> {
         self.0.as_ref()
     }
 
     /// The value that is held.
     #[must_use]
     pub fn value(&self) -> Option<&Arc<T>> {
-        self.0.as_ref().map(|held| &held.value)
+        self.0.as_ref().map(|current| &current.value)
     }
 
     /// Its version; of nothing, the lowest.
     #[must_use]
     pub fn version(&self) -> Version {
-        self.0.as_ref().map(|held| held.version).unwrap_or_default()
+        self.0.as_ref().map(|current| current.version).unwrap_or_default()
     }
 
     /// How long ago it was known to be current; `None` if nothing is held.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        self.0.as_ref().map(|held| now.since(held.as_of))
+        self.0.as_ref().map(|current| now.since(current.as_of))
     }
 
     /// Whether it was known to be current within the last `span`.
     #[must_use]
-    pub fn is_within(&self, span: Duration, now: Instant) -> bool {
-        self.age(now).is_some_and(|age| age <= span)
+    pub fn is_fresh(&self, max_age: Duration, now: Instant) -> bool {
+        self.age(now).is_some_and(|age| age <= max_age)
     }
 
     /// Whether another's value of `version` would have to be fetched to be held.
     #[must_use]
-    pub fn lacks(&self, version: Version) -> bool {
+    pub fn needs(&self, version: Version) -> bool {
         match &self.0 {
             None => version.revision > Revision::default(),
-            Some(held) => version.revision > held.version.revision && version.digest != held.version.digest,
+            Some(current) => {
+                version.revision > current.version.revision && version.digest != current.version.digest
+            }
         }
     }
 
     /// Takes evidence that the value of `version` was current as of `as_of`. Only the value that is
     /// held can be confirmed, and only by a revision that is not older.
-    pub fn confirm(&mut self, version: Version, as_of: Instant) -> Offer {
-        let Some(held) = &mut self.0 else { return Offer::Old };
-        if held.version.digest != version.digest {
-            return Offer::Old;
+    pub fn confirm(&mut self, version: Version, as_of: Instant) -> UpdateOutcome {
+        let Some(current) = &mut self.0 else { return UpdateOutcome::Stale };
+        if current.version.digest != version.digest {
+            return UpdateOutcome::Stale;
         }
-        let newer = as_of > held.as_of;
-        held.as_of = held.as_of.max(as_of);
-        held.version.revision = held.version.revision.max(version.revision);
-        if newer { Offer::Confirmed } else { Offer::Old }
+        let is_newer = as_of > current.as_of;
+        current.as_of = current.as_of.max(as_of);
+        current.version.revision = current.version.revision.max(version.revision);
+        if is_newer { UpdateOutcome::Confirmed } else { UpdateOutcome::Stale }
     }
 
     /// Takes a value. It never goes back to an older revision.
-    pub fn offer(&mut self, version: Version, as_of: Instant, value: impl FnOnce() -> Arc<T>) -> Offer {
-        if let Some(held) = &self.0 {
-            if held.version.digest == version.digest {
+    pub fn update(
+        &mut self,
+        version: Version,
+        as_of: Instant,
+        value: impl FnOnce() -> Arc<T>,
+    ) -> UpdateOutcome {
+        if let Some(current) = &self.0 {
+            if current.version.digest == version.digest {
                 return self.confirm(version, as_of);
             }
-            if version.revision <= held.version.revision {
-                return Offer::Old;
+            if version.revision <= current.version.revision {
+                return UpdateOutcome::Stale;
             }
         }
-        self.0 = Some(Held { version, value: value(), as_of });
-        Offer::New
+        self.0 = Some(VersionedValue { version, value: value(), as_of });
+        UpdateOutcome::Updated
     }
 }
--- a/crates/bendhinge_fleet/src/roster.rs
+++ b/crates/bendhinge_fleet/src/roster.rs
@@ -15,23 +15,23 @@
 
 use bendhinge_ids::Instant;
 
-use self::ranks::{own_reader, pick, rank_score, readers};
+use self::ranks::{pick_random, primary_relay, rank_score, relays};
 pub use self::states::{MemberStates, RosterDigest};
 
 /// The times that membership depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct RosterLimits {
+pub struct RosterTimeouts {
     /// A member unheard of for longer counts as dead.
     pub dead_after: Duration,
     /// One unheard of for longer is forgotten.
-    pub forgotten_after: Duration,
+    pub expire_after: Duration,
 }
 
 /// What is known of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
     /// When anybody last heard from it, by the own clock.
-    pub heard: Instant,
+    pub last_heard: Instant,
     /// Whether it is about to stop.
     pub is_leaving: bool,
     /// Whether its reads of the store fail.
@@ -39,14 +39,14 @@
     /// What its link carries, in megabits a second; 0 if that is not known.
     pub link_mbps: u32,
     /// Who told of it last; the member itself, if it was heard directly.
-    told_by: SocketAddr,
+    reported_by: SocketAddr,
     /// Its place among members that are alike.
     rank_score: u64,
 }
 
 /// A member as another router tells of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct MemberReport {
     /// Where it is reached.
     pub address: SocketAddr,
     /// How long ago it was heard from.
@@ -63,13 +63,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
     /// The one of those nearer to the store that is asked most.
-    Reader(SocketAddr),
+    Relay(SocketAddr),
     /// Another of them, in case that one is cut off without knowing it.
-    OtherReader(SocketAddr),
+    AlternateRelay(SocketAddr),
     /// Any live member.
-    Any(SocketAddr),
+    Random(SocketAddr),
     /// A seed, or a member that counts as dead.
-    Lost(SocketAddr),
+    Reconnect(SocketAddr),
 }
 
 impl Contact {
@@ -77,9 +77,10 @@
     #[must_use]
     pub const fn address(self) -> SocketAddr {
         match self {
-            Self::Reader(address) | Self::OtherReader(address) | Self::Any(address) | Self::Lost(address) => {
-                address
-            }
+            Self::Relay(address)
+            | Self::AlternateRelay(address)
+            | Self::Random(address)
+            | Self::Reconnect(address) => address,
         }
     }
 }
@@ -108,20 +109,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
     /// To one of those nearer to the store alone.
-    Reader,
+    RelayOnly,
     /// To any member besides.
-    Any,
+    RelayAndRandom,
 }
 
 /// In one round of this many another reader is asked than a router's own.
-const OTHER_READER_EVERY: usize = 4;
+const ALTERNATE_RELAY_PERIOD: usize = 4;
 
 /// The members as one router knows them.
 #[derive(Debug)]
 pub struct Roster {
     own: SocketAddr,
     own_link_mbps: u32,
-    limits: RosterLimits,
+    timeouts: RosterTimeouts,
     seeds: Vec<SocketAddr>,
     /// In the order of addresses, which is the same at all routers that know the same members.
     members: BTreeMap<SocketAddr, Member>,
@@ -131,10 +132,10 @@
 impl Roster {
     /// A roster of a router reached at `own` that knows only its seeds.
     #[must_use]
-    pub fn new(own: SocketAddr, own_link_mbps: u32, seeds: &[SocketAddr], limits: RosterLimits) -> Self {
+    pub fn new(own: SocketAddr, own_link_mbps: u32, seeds: &[SocketAddr], timeouts: RosterTimeouts) -> Self {
         let digest = RosterDigest::of(rank_score(own), own_link_mbps);
         let mut roster =
-            Self { own, own_link_mbps, limits, seeds: Vec::new(), members: BTreeMap::new(), digest };
+            Self { own, own_link_mbps, timeouts, seeds: Vec::new(), members: BTreeMap::new(), digest };
         roster.set_seeds(seeds);
         roster
     }
@@ -145,43 +146,43 @@
     }
 
     /// Takes in what a member tells of itself, received at `now`.
-    pub fn hear(&mut self, heard: &Heard, now: Instant) {
-        self.hear_told(heard, heard.address, now);
+    pub fn merge_direct(&mut self, report: &MemberReport, now: Instant) {
+        self.merge_reported(report, report.address, now);
     }
 
     /// Takes in what the router at `told_by` tells of a member, received at `now`.
-    pub fn hear_told(&mut self, heard: &Heard, told_by: SocketAddr, now: Instant) {
-        if heard.address == self.own || heard.age >= self.limits.forgotten_after {
+    pub fn merge_reported(&mut self, report: &MemberReport, reported_by: SocketAddr, now: Instant) {
+        if report.address == self.own || report.age >= self.timeouts.expire_after {
             return;
         }
-        let heard_at = now - heard.age;
-        let (rank_score, known_link) = match self.members.get(&heard.address) {
-            Some(known) if known.heard >= heard_at => return,
+        let heard_at = now - report.age;
+        let (rank_score, known_link_mbps) = match self.members.get(&report.address) {
+            Some(known) if known.last_heard >= heard_at => return,
             Some(known) => (known.rank_score, Some(known.link_mbps)),
-            None => (rank_score(heard.address), None),
+            None => (rank_score(report.address), None),
         };
-        if known_link != Some(heard.link_mbps) {
-            if let Some(link_mbps) = known_link {
+        if known_link_mbps != Some(report.link_mbps) {
+            if let Some(link_mbps) = known_link_mbps {
                 self.digest.toggle(RosterDigest::of(rank_score, link_mbps));
             }
-            self.digest.toggle(RosterDigest::of(rank_score, heard.link_mbps));
+            self.digest.toggle(RosterDigest::of(rank_score, report.link_mbps));
         }
         let member = Member {
-            heard: heard_at,
-            is_leaving: heard.is_leaving,
-            is_store_failing: heard.is_store_failing,
-            link_mbps: heard.link_mbps,
-            told_by,
+            last_heard: heard_at,
+            is_leaving: report.is_leaving,
+            is_store_failing: report.is_store_failing,
+            link_mbps: report.link_mbps,
+            reported_by,
             rank_score,
         };
-        self.members.insert(heard.address, member);
+        self.members.insert(report.address, member);
     }
 
     /// The known members, for telling others.
-    pub fn members(&self, now: Instant) -> impl Iterator<Item = Heard> {
-        self.members.iter().map(move |(address, member)| Heard {
+    pub fn members(&self, now: Instant) -> impl Iterator<Item = MemberReport> {
+        self.members.iter().map(move |(address, member)| MemberReport {
             address: *address,
-            age: now.since(member.heard),
+            age: now.since(member.last_heard),
             is_leaving: member.is_leaving,
             is_store_failing: member.is_store_failing,
             link_mbps: member.link_mbps,
@@ -189,11 +190,11 @@
     }
 
     /// Forgets members that nobody heard from for long.
-    pub fn forget(&mut self, now: Instant) {
-        let after = self.limits.forgotten_after;
+    pub fn remove_expired(&mut self, now: Instant) {
+        let after = self.timeouts.expire_after;
         let Self { members, digest, .. } = self;
         members.retain(|_, member| {
-            let is_kept = now.since(member.heard) < after;
+            let is_kept = now.since(member.last_heard) < after;
             if !is_kept {
                 digest.toggle(RosterDigest::of(member.rank_score, member.link_mbps));
             }
@@ -208,7 +209,7 @@
     }
 
     fn is_live(&self, member: &Member, now: Instant) -> bool {
-        !member.is_leaving && now.since(member.heard) < self.limits.dead_after
+        !member.is_leaving && now.since(member.last_heard) < self.timeouts.dead_after
     }
 
     /// How many members are live, this router among them.
@@ -240,7 +241,7 @@
     /// This router's place in the order in which members read the store; 0 is the first.
     #[must_use]
     pub fn own_rank(&self, own_reads_fail: bool, now: Instant) -> usize {
-        self.place(&self.ranked(own_reads_fail, now))
+        self.position(&self.ranked(own_reads_fail, now))
     }
 
     /// Whom to ask in a round; `draw` gives a number below its argument.
@@ -256,21 +257,21 @@
         draw: &mut impl FnMut(usize) -> usize,
     ) -> Vec<Contact> {
         let ranked = self.ranked(own_reads_fail, now);
-        let place = self.place(&ranked);
-        let own_reader = own_reader(place, &ranked);
-        let takes_other = draw(OTHER_READER_EVERY) == 0;
-        let reader = if takes_other { pick(readers(place, &ranked), draw) } else { own_reader };
-        let as_contact = |reader: SocketAddr| match own_reader {
-            Some(own_reader) if own_reader != reader => Contact::OtherReader(reader),
-            _ => Contact::Reader(reader),
+        let position = self.position(&ranked);
+        let primary_relay = primary_relay(position, &ranked);
+        let uses_alternate = draw(ALTERNATE_RELAY_PERIOD) == 0;
+        let relay = if uses_alternate { pick_random(relays(position, &ranked), draw) } else { primary_relay };
+        let as_contact = |relay: SocketAddr| match primary_relay {
+            Some(primary_relay) if primary_relay != relay => Contact::AlternateRelay(relay),
+            _ => Contact::Relay(relay),
         };
-        let mut contacts: Vec<Contact> = reader.map(as_contact).into_iter().collect();
-        if reach == Reach::Any || contacts.is_empty() {
+        let mut contacts: Vec<Contact> = relay.map(as_contact).into_iter().collect();
+        if reach == Reach::RelayAndRandom || contacts.is_empty() {
             let others: Vec<SocketAddr> = ranked
                 .into_iter()
-                .filter(|address| *address != self.own && reader != Some(*address))
+                .filter(|address| *address != self.own && relay != Some(*address))
                 .collect();
-            contacts.extend(pick(&others, draw).map(Contact::Any));
+            contacts.extend(pick_random(&others, draw).map(Contact::Random));
         }
         contacts
     }
@@ -281,55 +282,62 @@
     /// whoever read it, and nearly nobody is told twice. But whoever read it itself tells all that
     /// the first in rank would tell: it may have had to read since that one is lost.
     #[must_use]
-    pub fn listeners(&self, origin: Origin, own_reads_fail: bool, now: Instant) -> Vec<SocketAddr> {
+    pub fn push_targets(&self, origin: Origin, own_reads_fail: bool, now: Instant) -> Vec<SocketAddr> {
         let ranked = self.ranked(own_reads_fail, now);
-        let own_place = self.place(&ranked);
-        let own_reader = own_reader(own_place, &ranked);
-        let hears = |place: usize| {
-            let asked = ranks::own_reader(place, &ranked);
+        let own_position = self.position(&ranked);
+        let primary_relay = primary_relay(own_position, &ranked);
+        let asks_this_router = |position: usize| {
+            let asked = ranks::primary_relay(position, &ranked);
             asked == Some(self.own) || origin == Origin::Store && asked == Some(ranked[0])
         };
-        let others = ranked.iter().enumerate().filter(|(place, _)| *place != own_place);
-        let told = others.filter(|(place, address)| hears(*place) || own_reader == Some(**address));
-        told.map(|(_, address)| *address).collect()
+        let others = ranked.iter().enumerate().filter(|(position, _)| *position != own_position);
+        let targets = others
+            .filter(|(position, address)| asks_this_router(*position) || primary_relay == Some(**address));
+        targets.map(|(_, address)| *address).collect()
     }
 
     /// Whether the fleet is so small that one of it can tell all others something itself.
     #[must_use]
     pub fn is_small(&self) -> bool {
-        self.known_count() <= ranks::ASKING_THE_FIRST
+        self.known_count() <= ranks::SMALL_FLEET_MAX
     }
 
-    /// Whom to tell at once of suspected requests. As [`Roster::listeners`], but in a small fleet whoever saw
+    /// Whom to tell at once of suspected requests. As [`Roster::push_targets`], but in a small fleet whoever saw
     /// something tells all, and nobody else tells it on.
     #[must_use]
-    pub fn suspicion_listeners(&self, origin: Origin, own_reads_fail: bool, now: Instant) -> Vec<SocketAddr> {
+    pub fn suspicion_push_targets(
+        &self,
+        origin: Origin,
+        own_reads_fail: bool,
+        now: Instant,
+    ) -> Vec<SocketAddr> {
         match origin {
-            _ if !self.is_small() => self.listeners(origin, own_reads_fail, now),
+            _ if !self.is_small() => self.push_targets(origin, own_reads_fail, now),
             Origin::Store => self.live(now).map(|(address, _)| address).collect(),
             Origin::Peer => Vec::new(),
         }
     }
 
     /// This router's place in `ranked`.
-    fn place(&self, ranked: &[SocketAddr]) -> usize {
+    fn position(&self, ranked: &[SocketAddr]) -> usize {
         ranked.iter().position(|address| *address == self.own).unwrap_or(0)
     }
 
     /// Any live member.
-    pub fn any_contact(&self, now: Instant, draw: &mut impl FnMut(usize) -> usize) -> Option<Contact> {
+    pub fn random_contact(&self, now: Instant, draw: &mut impl FnMut(usize) -> usize) -> Option<Contact> {
         let mut live: Vec<SocketAddr> = self.live(now).map(|(address, _)| address).collect();
         live.sort_unstable();
-        pick(&live, draw).map(Contact::Any)
+        pick_random(&live, draw).map(Contact::Random)
     }
 
     /// Somebody to look for: a seed that is no live member, or a member that counts as dead.
-    pub fn lost_contact(&self, now: Instant, draw: &mut impl FnMut(usize) -> usize) -> Option<Contact> {
+    pub fn reconnect_contact(&self, now: Instant, draw: &mut impl FnMut(usize) -> usize) -> Option<Contact> {
         let is_live = |address| self.members.get(&address).is_some_and(|member| self.is_live(member, now));
-        let mut lost: Vec<SocketAddr> = self.seeds.iter().copied().filter(|seed| !is_live(*seed)).collect();
+        let mut unreachable: Vec<SocketAddr> =
+            self.seeds.iter().copied().filter(|seed| !is_live(*seed)).collect();
         let dead = self.members.keys().copied().filter(|address| !is_live(*address));
-        lost.extend(dead.filter(|address| !self.seeds.contains(address)));
-        lost.sort_unstable();
-        pick(&lost, draw).map(Contact::Lost)
+        unreachable.extend(dead.filter(|address| !self.seeds.contains(address)));
+        unreachable.sort_unstable();
+        pick_random(&unreachable, draw).map(Contact::Reconnect)
     }
 }
--- a/crates/bendhinge_fleet/src/roster/states.rs
+++ b/crates/bendhinge_fleet/src/roster/states.rs
@@ -33,7 +33,7 @@
 
 /// The unit of an age: with six bits it reaches just above the three seconds after which a member that is
 /// not heard from counts as dead, and older ones need not be told.
-const AGE: Duration = Duration::from_millis(50);
+const AGE_UNIT: Duration = Duration::from_millis(50);
 /// The bits of an age. All set, there is nothing to tell.
 const AGE_BITS: u8 = 0b0011_1111;
 const LEAVING: u8 = 0b1000_0000;
@@ -49,39 +49,40 @@
     /// The members' states for the router at `listener`, which knows the same ones: of each but those of
     /// which it told itself, and of itself.
     #[must_use]
-    pub fn states_for(&self, listener: SocketAddr, now: Instant) -> MemberStates {
-        let state = |member: &Member| if member.told_by == listener { AGE_BITS } else { state(member, now) };
-        let before = self.members.range(..self.own).map(|(_, member)| state(member));
-        let after = self.members.range(self.own..).map(|(_, member)| state(member));
+    pub fn states_for(&self, receiver: SocketAddr, now: Instant) -> MemberStates {
+        let packed =
+            |member: &Member| if member.reported_by == receiver { AGE_BITS } else { pack_state(member, now) };
+        let before = self.members.range(..self.own).map(|(_, member)| packed(member));
+        let after = self.members.range(self.own..).map(|(_, member)| packed(member));
         // What is told of the sender itself stands in the message apart.
         MemberStates(before.chain([AGE_BITS]).chain(after).collect())
     }
 
     /// Takes in the states that the router at `told_by` tells, received at `now`. Call it only if that one
     /// knows the same members.
-    pub fn hear_states(&mut self, states: &MemberStates, told_by: SocketAddr, now: Instant) {
+    pub fn merge_states(&mut self, states: &MemberStates, reported_by: SocketAddr, now: Instant) {
         let own = self.own;
-        let place = self.members.range(..own).count();
+        let position = self.members.range(..own).count();
         if states.0.len() != self.members.len() + 1 {
             return;
         }
-        let told = states.0[..place].iter().chain(&states.0[place + 1..]);
-        for (member, state) in self.members.values_mut().zip(told) {
+        let received = states.0[..position].iter().chain(&states.0[position + 1..]);
+        for (member, state) in self.members.values_mut().zip(received) {
             let age = state & AGE_BITS;
-            let heard = now - AGE * u32::from(age);
-            if age != AGE_BITS && heard > member.heard {
-                member.heard = heard;
+            let last_heard = now - AGE_UNIT * u32::from(age);
+            if age != AGE_BITS && last_heard > member.last_heard {
+                member.last_heard = last_heard;
                 member.is_leaving = state & LEAVING != 0;
                 member.is_store_failing = state & STORE_FAILING != 0;
-                member.told_by = told_by;
+                member.reported_by = reported_by;
             }
         }
     }
 }
 
 /// An age is never stated as less than it is.
-fn state(member: &Member, now: Instant) -> u8 {
-    let age = now.since(member.heard).as_millis().div_ceil(AGE.as_millis());
+fn pack_state(member: &Member, now: Instant) -> u8 {
+    let age = now.since(member.last_heard).as_millis().div_ceil(AGE_UNIT.as_millis());
     let age = u8::try_from(age).map_or(AGE_BITS, |age| age.min(AGE_BITS));
     let leaving = if member.is_leaving { LEAVING } else { 0 };
     let failing = if member.is_store_failing { STORE_FAILING } else { 0 };
--- a/crates/bendhinge_fleet/tests/relearning.rs
+++ b/crates/bendhinge_fleet/tests/cache_recovery.rs
@@ -2,22 +2,22 @@
 
 use std::time::Duration;
 
-use bendhinge_fleet::{RelearnLimits, RelearnStep, RelearnView, Relearning};
+use bendhinge_fleet::{CacheRecovery, CacheRecoveryStep, CacheRecoveryTimings, FleetView};
 use bendhinge_ids::Instant;
 
-const LIMITS: RelearnLimits = RelearnLimits {
-    first: Duration::from_millis(100),
-    per_upstream: Duration::from_millis(5),
-    alone: Duration::from_millis(400),
-    step: Duration::from_millis(1_000),
-    given_up: Duration::from_millis(6_000),
+const LIMITS: CacheRecoveryTimings = CacheRecoveryTimings {
+    initial_delay: Duration::from_millis(100),
+    per_upstream_delay: Duration::from_millis(5),
+    isolated_delay: Duration::from_millis(400),
+    rank_step: Duration::from_millis(1_000),
+    timeout: Duration::from_millis(6_000),
 };
 
 /// With these the first in rank waits a quarter of a second.
 const UPSTREAMS: usize = 30;
 
-const fn seen(members: usize, rank: usize) -> RelearnView {
-    RelearnView { members, rank, upstreams: UPSTREAMS }
+const fn seen(members: usize, rank: usize) -> FleetView {
+    FleetView { live_routers: members, rank, upstream_count: UPSTREAMS }
 }
 
 fn at(millis: u64) -> Instant {
@@ -28,7 +28,7 @@
 /// `dead` never ask. Gives how many asked the upstreams before they learned from one that had.
 fn play(routers: usize, heard_ms: usize, dead: &[usize]) -> usize {
     const ASKING_TAKES: usize = 500;
-    let plans: Vec<Relearning> = (0..routers).map(|_| Relearning::new(LIMITS, at(0))).collect();
+    let plans: Vec<CacheRecovery> = (0..routers).map(|_| CacheRecovery::new(LIMITS, at(0))).collect();
     let mut first_answer: Option<usize> = None;
     let mut asked = vec![false; routers];
     for now in (100..7_000).step_by(100) {
@@ -37,9 +37,9 @@
         for router in (0..routers).filter(|router| !dead.contains(router)) {
             // A router that knows few others takes itself for one of the first.
             let rank = if known < routers { router * known / routers } else { router };
-            let seen = RelearnView { members: known, rank, upstreams: UPSTREAMS };
-            let step = plans[router].step(seen, at(now as u64));
-            if step == RelearnStep::AskUpstreams && !asked[router] && !is_told {
+            let seen = FleetView { live_routers: known, rank, upstream_count: UPSTREAMS };
+            let step = plans[router].next_step(seen, at(now as u64));
+            if step == CacheRecoveryStep::QueryUpstreams && !asked[router] && !is_told {
                 asked[router] = true;
                 first_answer.get_or_insert(now + ASKING_TAKES);
             }
@@ -72,33 +72,37 @@
 
 #[test]
 fn a_router_alone_looks_for_others_first() {
-    let alone = Relearning::new(LIMITS, at(0));
-    assert_eq!(alone.step(seen(1, 0), at(100)), RelearnStep::Wait);
-    assert_eq!(alone.step(seen(1, 0), at(600)), RelearnStep::Wait, "its seeds may be starting, too");
-    assert_eq!(alone.step(seen(1, 0), at(800)), RelearnStep::AskUpstreams);
+    let alone = CacheRecovery::new(LIMITS, at(0));
+    assert_eq!(alone.next_step(seen(1, 0), at(100)), CacheRecoveryStep::Wait);
+    assert_eq!(
+        alone.next_step(seen(1, 0), at(600)),
+        CacheRecoveryStep::Wait,
+        "its seeds may be starting, too"
+    );
+    assert_eq!(alone.next_step(seen(1, 0), at(800)), CacheRecoveryStep::QueryUpstreams);
 }
 
 /// Each newly heard member put the question off before, for four seconds in a fleet of 64.
 #[test]
 fn members_that_are_heard_of_later_put_nothing_off() {
-    let first = Relearning::new(LIMITS, at(0));
-    assert_eq!(first.step(seen(40, 0), at(200)), RelearnStep::Wait);
-    assert_eq!(first.step(seen(60, 0), at(300)), RelearnStep::AskUpstreams);
+    let first = CacheRecovery::new(LIMITS, at(0));
+    assert_eq!(first.next_step(seen(40, 0), at(200)), CacheRecoveryStep::Wait);
+    assert_eq!(first.next_step(seen(60, 0), at(300)), CacheRecoveryStep::QueryUpstreams);
 }
 
 /// Each of many that take themselves for the first would ask all upstreams.
 #[test]
 fn the_more_upstreams_there_are_the_longer_it_waits() {
-    let first = Relearning::new(LIMITS, at(0));
-    let among = |upstreams| RelearnView { upstreams, ..seen(40, 0) };
-    assert_eq!(first.step(among(10), at(200)), RelearnStep::AskUpstreams);
-    assert_eq!(first.step(among(100), at(500)), RelearnStep::Wait);
-    assert_eq!(first.step(among(100), at(700)), RelearnStep::AskUpstreams);
+    let first = CacheRecovery::new(LIMITS, at(0));
+    let among = |upstreams| FleetView { upstream_count: upstreams, ..seen(40, 0) };
+    assert_eq!(first.next_step(among(10), at(200)), CacheRecoveryStep::QueryUpstreams);
+    assert_eq!(first.next_step(among(100), at(500)), CacheRecoveryStep::Wait);
+    assert_eq!(first.next_step(among(100), at(700)), CacheRecoveryStep::QueryUpstreams);
 }
 
 #[test]
 fn it_ends() {
-    let last = Relearning::new(LIMITS, at(0));
-    assert_eq!(last.step(seen(64, 63), at(100)), RelearnStep::Wait);
-    assert_eq!(last.step(seen(64, 63), at(6_100)), RelearnStep::GiveUp);
+    let last = CacheRecovery::new(LIMITS, at(0));
+    assert_eq!(last.next_step(seen(64, 63), at(100)), CacheRecoveryStep::Wait);
+    assert_eq!(last.next_step(seen(64, 63), at(6_100)), CacheRecoveryStep::GiveUp);
 }
--- a/crates/bendhinge_fleet/tests/evidence.rs
+++ b/crates/bendhinge_fleet/tests/evidence.rs
@@ -1,6 +1,6 @@
 //! When upstreams are suspected on what other routers saw.
 
-use bendhinge_fleet::{Doubt, Evidence, LearnedFrom, UpstreamFailure, Verdict, Witness};
+use bendhinge_fleet::{Doubt, Evidence, UpdateSource, UpstreamFailure, Verdict, Witness};
 use bendhinge_ids::{Instant, NameHash};
 
 const UPSTREAM: NameHash = NameHash(7);
@@ -8,8 +8,8 @@
 const OWN: NameHash = NameHash(1);
 
 /// Who tells it of doubts, and whom it tells.
-const SENDER: LearnedFrom = LearnedFrom::Router(NameHash(200));
-const LISTENER: LearnedFrom = LearnedFrom::Router(NameHash(201));
+const SENDER: UpdateSource = UpdateSource::Router(NameHash(200));
+const LISTENER: UpdateSource = UpdateSource::Router(NameHash(201));
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(10_000 + millis)
--- a/crates/bendhinge_fleet/tests/lists.rs
+++ b/crates/bendhinge_fleet/tests/lists.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use bendhinge_fleet::{ListHistory, ListTold, UpstreamEntry, UpstreamList, UpstreamState};
+use bendhinge_fleet::{ListHistory, ListUpdate, UpstreamEntry, UpstreamList, UpstreamState};
 use bendhinge_ids::NameHash;
 
 fn entry(number: u32, port: u16, state: UpstreamState) -> Arc<UpstreamEntry> {
@@ -31,12 +31,12 @@
 }
 
 /// The list that a peer which holds `held` has after it was told `told`.
-fn after(held: &UpstreamList, told: &ListTold) -> UpstreamList {
+fn after(held: &UpstreamList, told: &ListUpdate) -> UpstreamList {
     match told {
-        ListTold::Whole(list) => list.clone(),
-        ListTold::Changes { base, changes } => {
+        ListUpdate::Full(list) => list.clone(),
+        ListUpdate::Delta { base, delta } => {
             assert_eq!(*base, held.digest());
-            held.with(changes)
+            held.apply(delta)
         }
     }
 }
@@ -44,7 +44,7 @@
 fn remembering(lists: &[&UpstreamList]) -> ListHistory {
     let mut history = ListHistory::default();
     for list in lists {
-        history.remember(list.digest(), &Arc::new((*list).clone()));
+        history.push(list.digest(), &Arc::new((*list).clone()));
     }
     history
 }
@@ -56,9 +56,9 @@
     let mut now = list(1..251);
     now.entries[6] = entry(7, 9_000, UpstreamState::Draining);
     let history = remembering(&[&before, &now]);
-    let told = history.tell(&now, Some(before.digest()));
-    let ListTold::Changes { changes, .. } = &told else { panic!("it is told whole") };
-    assert_eq!((changes.gone.len(), changes.came.len()), (1, 2));
+    let told = history.update_for(&now, Some(before.digest()));
+    let ListUpdate::Delta { delta, .. } = &told else { panic!("it is told whole") };
+    assert_eq!((delta.removed.len(), delta.upserted.len()), (1, 2));
     assert_eq!(after(&before, &told), now);
     assert_eq!(after(&before, &told).digest(), now.digest());
 }
@@ -68,7 +68,7 @@
     let (before, now) = (list(0..5), list(1..6));
     let history = remembering(&[&now]);
     for base in [None, Some(before.digest())] {
-        assert_eq!(history.tell(&now, base), ListTold::Whole(now.clone()));
+        assert_eq!(history.update_for(&now, base), ListUpdate::Full(now.clone()));
     }
 }
 
@@ -77,12 +77,13 @@
     let lists: Vec<UpstreamList> = (0..40).map(|first| list(first..first + 3)).collect();
     let mut history = ListHistory::default();
     for held in &lists {
-        history.remember(held.digest(), &Arc::new(held.clone()));
+        history.push(held.digest(), &Arc::new(held.clone()));
         // It flaps back each time.
-        history.remember(lists[0].digest(), &Arc::new(lists[0].clone()));
+        history.push(lists[0].digest(), &Arc::new(lists[0].clone()));
     }
-    let is_whole =
-        |base: &UpstreamList| matches!(history.tell(&lists[39], Some(base.digest())), ListTold::Whole(_));
+    let is_whole = |base: &UpstreamList| {
+        matches!(history.update_for(&lists[39], Some(base.digest())), ListUpdate::Full(_))
+    };
     assert!(!is_whole(&lists[0]));
     assert!(is_whole(&lists[1]));
     assert!(!is_whole(&lists[38]));
@@ -91,7 +92,7 @@
 #[test]
 fn lists_that_follow_each_other_share_what_is_equal() {
     let before = list(0..5);
-    let now = list(1..6).sharing(&before);
+    let now = list(1..6).share_entries_with(&before);
     assert_eq!(now, list(1..6));
     assert!(Arc::ptr_eq(&now.entries[0], &before.entries[1]));
 }
@@ -114,7 +115,7 @@
         };
         let (before, now) = (some()?, some()?);
         let history = remembering(&[&before]);
-        assert_eq!(after(&before, &history.tell(&now, Some(before.digest()))), now);
+        assert_eq!(after(&before, &history.update_for(&now, Some(before.digest()))), now);
         Ok(())
     });
 }
@@ -126,11 +127,11 @@
     assert_ne!(usual.digest(), drained.digest(), "who holds the one lacks the other");
     let mut history = ListHistory::default();
     for list in [&usual, &drained] {
-        history.remember(list.digest(), &Arc::new(list.clone()));
+        history.push(list.digest(), &Arc::new(list.clone()));
     }
     for (held, current) in [(&usual, &drained), (&drained, &usual)] {
-        let told = history.tell(current, Some(held.digest()));
-        assert!(matches!(&told, ListTold::Changes { changes, .. } if changes.came.is_empty()));
+        let told = history.update_for(current, Some(held.digest()));
+        assert!(matches!(&told, ListUpdate::Delta { delta, .. } if delta.upserted.is_empty()));
         assert_eq!(after(held, &told), *current);
     }
 }
@@ -143,7 +144,7 @@
     let again = UpstreamEntry { born: 7, hash: UpstreamEntry::life(&name(9), 7), ..(*ready(9)).clone() };
     let came = vec![(*ready(300)).clone(), again.clone()];
     let drained = vec!["hall-2".parse().unwrap()];
-    let after = before.updated(came, &[name(4), name(777)], drained.clone());
+    let after = before.with_store_changes(came, &[name(4), name(777)], drained.clone());
     let mut expected: Vec<_> = (0..250).filter(|number| ![4, 9].contains(number)).map(ready).collect();
     expected.push(ready(300));
     expected.push(Arc::new(again));
--- a/crates/bendhinge_fleet/tests/loads.rs
+++ b/crates/bendhinge_fleet/tests/loads.rs
@@ -2,20 +2,20 @@
 
 use std::time::Duration;
 
-use bendhinge_fleet::{HighLoads, LearnedFrom, LoadSaid, LoadStates, Loads};
+use bendhinge_fleet::{Loads, PackedHighLoads, PackedLoads, UpdateSource, UpstreamLoad};
 use bendhinge_ids::{Instant, NameHash};
 
 const NOW: Instant = Instant::from_millis(10_000);
-const SENDER: LearnedFrom = LearnedFrom::Router(NameHash(1));
-const LISTENER: LearnedFrom = LearnedFrom::Router(NameHash(2));
+const SENDER: UpdateSource = UpdateSource::Router(NameHash(1));
+const LISTENER: UpdateSource = UpdateSource::Router(NameHash(2));
 
 fn listed(count: u64) -> impl ExactSizeIterator<Item = NameHash> {
     (0..usize::try_from(count).unwrap()).map(|number| NameHash(100 + number as u64))
 }
 
-fn said(upstream: u64, in_progress: u32, age_ms: u64) -> LoadSaid {
+fn said(upstream: u64, in_progress: u32, age_ms: u64) -> UpstreamLoad {
     let at = NOW - Duration::from_millis(age_ms);
-    LoadSaid { upstream: NameHash(100 + upstream), in_progress, at }
+    UpstreamLoad { upstream: NameHash(100 + upstream), in_progress, reported_at: at }
 }
 
 /// What the listener estimates of an upstream while others have nothing on average.
@@ -27,11 +27,11 @@
 fn who_holds_the_same_list_estimates_the_same() {
     let (mut loads, mut heard) = (Loads::default(), Loads::default());
     for (upstream, in_progress) in [(0, 3), (2, 17), (3, 0)] {
-        loads.learn(said(upstream, in_progress, 120), LearnedFrom::Itself);
+        loads.record(said(upstream, in_progress, 120), UpdateSource::Local);
     }
-    let states = loads.states_for(LISTENER, listed(4), NOW);
+    let states = loads.pack_all_for(LISTENER, listed(4), NOW);
     assert_eq!(states.0.len(), 2 * 4);
-    heard.hear_states(&states, listed(4), SENDER, NOW);
+    heard.apply_all(&states, listed(4), SENDER, NOW);
     for upstream in 0..4 {
         assert!((estimate(&heard, upstream) - estimate(&loads, upstream)).abs() < 0.01, "{upstream}");
     }
@@ -40,38 +40,38 @@
 #[test]
 fn nobody_is_told_what_it_told_itself_nor_what_is_old() {
     let mut loads = Loads::default();
-    loads.learn(said(0, 5, 10), LISTENER);
-    loads.learn(said(1, 6, 10), SENDER);
-    loads.learn(said(2, 7, 2_600), SENDER);
+    loads.record(said(0, 5, 10), LISTENER);
+    loads.record(said(1, 6, 10), SENDER);
+    loads.record(said(2, 7, 2_600), SENDER);
     let mut heard = Loads::default();
-    heard.hear_states(&loads.states_for(LISTENER, listed(3), NOW), listed(3), SENDER, NOW);
-    let told: Vec<NameHash> = heard.to_tell(NOW).iter().map(|said| said.upstream).collect();
+    heard.apply_all(&loads.pack_all_for(LISTENER, listed(3), NOW), listed(3), SENDER, NOW);
+    let told: Vec<NameHash> = heard.recent_reports(NOW).iter().map(|said| said.upstream).collect();
     assert_eq!(told, [NameHash(101)]);
 }
 
 #[test]
 fn loads_that_do_not_fit_into_a_byte_are_told_as_the_largest() {
     let (mut loads, mut heard) = (Loads::default(), Loads::default());
-    loads.learn(said(0, 3_000, 0), LearnedFrom::Itself);
-    heard.hear_states(&loads.states_for(LISTENER, listed(1), NOW), listed(1), SENDER, NOW);
+    loads.record(said(0, 3_000, 0), UpdateSource::Local);
+    heard.apply_all(&loads.pack_all_for(LISTENER, listed(1), NOW), listed(1), SENDER, NOW);
     assert!((estimate(&heard, 0) - 254.0).abs() < 0.01);
 }
 
 #[test]
 fn states_of_another_list_are_not_taken() {
     let mut loads = Loads::default();
-    loads.learn(said(0, 5, 10), LearnedFrom::Itself);
-    let mut states = loads.states_for(LISTENER, listed(3), NOW);
+    loads.record(said(0, 5, 10), UpdateSource::Local);
+    let mut states = loads.pack_all_for(LISTENER, listed(3), NOW);
     for count in [2, 4] {
         let mut heard = Loads::default();
-        heard.hear_states(&states, listed(count), SENDER, NOW);
-        assert_eq!(heard.to_tell(NOW).len(), 0);
+        heard.apply_all(&states, listed(count), SENDER, NOW);
+        assert_eq!(heard.recent_reports(NOW).len(), 0);
     }
     states.0.pop();
     let mut heard = Loads::default();
-    heard.hear_states(&states, listed(3), SENDER, NOW);
-    heard.hear_states(&LoadStates::default(), listed(3), SENDER, NOW);
-    assert_eq!(heard.to_tell(NOW).len(), 0);
+    heard.apply_all(&states, listed(3), SENDER, NOW);
+    heard.apply_all(&PackedLoads::default(), listed(3), SENDER, NOW);
+    assert_eq!(heard.recent_reports(NOW).len(), 0);
 }
 
 /// On its way over many routers a report never looks younger than it is.
@@ -80,17 +80,20 @@
     arbtest::arbtest(|random| {
         let (mut elapsed, age) = (random.int_in_range(0..=500)?, 40);
         let mut loads = Loads::default();
-        loads.learn(said(0, 9, age), LearnedFrom::Itself);
+        loads.record(said(0, 9, age), UpdateSource::Local);
         for _ in 0..random.int_in_range(1..=6)? {
             let now = NOW + Duration::from_millis(elapsed);
-            let states = loads.states_for(LISTENER, listed(1), now);
+            let states = loads.pack_all_for(LISTENER, listed(1), now);
             let arrives = random.int_in_range(0..=300)?;
             loads = Loads::default();
             // Counted from when it was asked for: that is before the states were made.
-            loads.hear_states(&states, listed(1), SENDER, now);
+            loads.apply_all(&states, listed(1), SENDER, now);
             elapsed += arrives;
             let truth = NOW - Duration::from_millis(age);
-            assert!(loads.to_tell(now).iter().all(|said| said.at <= truth), "{elapsed} ms later");
+            assert!(
+                loads.recent_reports(now).iter().all(|said| said.reported_at <= truth),
+                "{elapsed} ms later"
+            );
         }
         Ok(())
     });
@@ -99,10 +102,10 @@
 /// What is left of a report of ten requests after a second, when requests last so long.
 fn left_after_a_second(lasted: Duration) -> f32 {
     let mut loads = Loads::default();
-    loads.learn(said(0, 10, 1_000), LearnedFrom::Itself);
+    loads.record(said(0, 10, 1_000), UpdateSource::Local);
     for _ in 0..1_000 {
-        loads.began(NameHash(100));
-        loads.ended(NameHash(100), lasted);
+        loads.start_request(NameHash(100));
+        loads.end_request(NameHash(100), lasted);
     }
     estimate(&loads, 0)
 }
@@ -120,11 +123,11 @@
 #[test]
 fn requests_of_upstreams_that_say_nothing_of_their_load_do_not_count_for_those_that_do() {
     let mut loads = Loads::default();
-    loads.learn(said(0, 10, 1_000), LearnedFrom::Itself);
+    loads.record(said(0, 10, 1_000), UpdateSource::Local);
     let before = estimate(&loads, 0);
     for _ in 0..1_000 {
-        loads.began(NameHash(101));
-        loads.ended(NameHash(101), Duration::from_millis(10));
+        loads.start_request(NameHash(101));
+        loads.end_request(NameHash(101), Duration::from_millis(10));
     }
     assert!((estimate(&loads, 0) - before).abs() < 0.01);
 }
@@ -138,14 +141,19 @@
         let (mut loads, mut heard) = (Loads::default(), Loads::default());
         for upstream in 0..count {
             let in_progress = if upstream % (count / HIGH) == 7 { 9 } else { 1 };
-            loads.learn(said(upstream, in_progress, 120), LearnedFrom::Itself);
+            loads.record(said(upstream, in_progress, 120), UpdateSource::Local);
         }
-        let told = loads.highest_for(LISTENER, listed(count), NOW);
+        let told = loads.pack_highest_for(LISTENER, listed(count), NOW);
         let hash = |place: usize| listed(count).nth(place);
-        heard.hear_highest(&told, hash, SENDER, NOW);
-        let high = heard.to_tell(NOW).iter().filter(|said| said.in_progress == 9).count();
+        heard.apply_highest(&told, hash, SENDER, NOW);
+        let high = heard.recent_reports(NOW).iter().filter(|said| said.in_progress == 9).count();
         assert_eq!(high as u64, HIGH, "of {count}");
-        assert!(heard.to_tell(NOW).iter().all(|said| NOW.since(said.at) >= Duration::from_millis(120)));
+        assert!(
+            heard
+                .recent_reports(NOW)
+                .iter()
+                .all(|said| NOW.since(said.reported_at) >= Duration::from_millis(120))
+        );
         told.0.len()
     });
     assert_eq!(bytes[0], bytes[2]);
@@ -155,8 +163,8 @@
 #[test]
 fn high_loads_of_places_that_are_not_listed_are_not_taken() {
     let mut heard = Loads::default();
-    let told = HighLoads(vec![0, 1, 5, 0, 0, 9, 5, 0, 0, 0]);
-    heard.hear_highest(&told, |place| listed(3).nth(place), SENDER, NOW);
-    let upstreams: Vec<NameHash> = heard.to_tell(NOW).iter().map(|said| said.upstream).collect();
+    let told = PackedHighLoads(vec![0, 1, 5, 0, 0, 9, 5, 0, 0, 0]);
+    heard.apply_highest(&told, |place| listed(3).nth(place), SENDER, NOW);
+    let upstreams: Vec<NameHash> = heard.recent_reports(NOW).iter().map(|said| said.upstream).collect();
     assert_eq!(upstreams, [NameHash(101)]);
 }
--- a/crates/bendhinge_fleet/tests/quarantine.rs
+++ b/crates/bendhinge_fleet/tests/quarantine.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bendhinge_fleet::{Crash, LearnedFrom, MOST_CRASHES, Permission, Quarantine, Suspicion, UnderWay};
+use bendhinge_fleet::{Crash, MOST_CRASHES, Permission, Quarantine, Suspicion, UnderWay, UpdateSource};
 use bendhinge_ids::{Instant, NameHash, RequestDigest};
 
 const FATAL: RequestDigest = RequestDigest(1);
@@ -41,7 +41,7 @@
 fn tell(from: &Quarantine, name: NameHash, to: &mut Quarantine, now: Instant) -> bool {
     let mut changes = false;
     for (request, suspicion) in &told(from) {
-        changes |= to.hear(*request, suspicion, LearnedFrom::Router(name), now);
+        changes |= to.hear(*request, suspicion, UpdateSource::Router(name), now);
     }
     changes
 }
@@ -138,9 +138,9 @@
     tell(&quarantine, OWN, &mut other, at(2));
     assert!(quarantine.answered(SOUND, at(3)));
     assert_eq!(quarantine.permission(SOUND, at(3)), Permission::Free);
-    let news: Vec<_> = quarantine.changes(LearnedFrom::Router(OTHER), at(2), false).collect();
+    let news: Vec<_> = quarantine.changes(UpdateSource::Router(OTHER), at(2), false).collect();
     let [(request, suspicion)] = news[..] else { panic!("its end is news: {news:?}") };
-    assert!(other.hear(request, suspicion, LearnedFrom::Router(OWN), at(3)));
+    assert!(other.hear(request, suspicion, UpdateSource::Router(OWN), at(3)));
     assert_eq!(other.permission(SOUND, at(3)), Permission::Free);
     // A third router that still tells of the crashes changes nothing.
     let late = crashed(SOUND, [1, 2]);
@@ -205,7 +205,7 @@
     assert_ne!(quarantine.digest(), started.digest());
     for (request, suspicion) in quarantine.that_matters() {
         assert_eq!(request, FATAL, "one crash alone is not worth telling twice");
-        started.hear(request, suspicion, LearnedFrom::Router(OWN), later);
+        started.hear(request, suspicion, UpdateSource::Router(OWN), later);
     }
     assert_eq!(quarantine.digest(), started.digest());
     assert!(is_quarantined(&started, FATAL, later));
@@ -216,7 +216,7 @@
     let mut quarantine = crashed(FATAL, [1]);
     let mut other = Quarantine::new(OTHER);
     tell(&quarantine, OWN, &mut other, at(1));
-    let (own, third) = (LearnedFrom::Router(OWN), LearnedFrom::Router(NameHash(102)));
+    let (own, third) = (UpdateSource::Router(OWN), UpdateSource::Router(NameHash(102)));
     assert_eq!(other.changes(own, at(0), true).count(), 0);
     assert_eq!(other.changes(third, at(0), true).count(), 1);
     assert_eq!(other.changes(third, at(0), false).count(), 0);
@@ -231,7 +231,7 @@
     for router in 0..300 {
         let said = UnderWay { router: NameHash(1_000 + router), sends: 1, at: at(3 + router) };
         let heard = Suspicion { under_way: vec![said], ..Suspicion::default() };
-        quarantine.hear(FATAL, &heard, LearnedFrom::Router(NameHash(1_000 + router)), at(3 + router));
+        quarantine.hear(FATAL, &heard, UpdateSource::Router(NameHash(1_000 + router)), at(3 + router));
     }
     let (_, suspicion) = &told(&quarantine)[0];
     assert!(suspicion.under_way.len() <= 10, "{}", suspicion.under_way.len());
@@ -296,7 +296,7 @@
                 _ => {
                     let to = choices.choose_index(ROUTERS)?;
                     for (request, suspicion) in told(&routers[router]) {
-                        routers[to].hear(request, &suspicion, LearnedFrom::Router(names[router]), now);
+                        routers[to].hear(request, &suspicion, UpdateSource::Router(names[router]), now);
                     }
                 }
             }
@@ -307,7 +307,7 @@
             for from in 0..ROUTERS {
                 for to in 0..ROUTERS {
                     for (request, suspicion) in told(&routers[from]) {
-                        routers[to].hear(request, &suspicion, LearnedFrom::Router(names[from]), now);
+                        routers[to].hear(request, &suspicion, UpdateSource::Router(names[from]), now);
                     }
                 }
             }
--- a/crates/bendhinge_fleet/tests/roster.rs
+++ b/crates/bendhinge_fleet/tests/roster.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bendhinge_fleet::{Heard, Origin, Reach, Roster, RosterLimits};
+use bendhinge_fleet::{MemberReport, Origin, Reach, Roster, RosterTimeouts};
 use bendhinge_ids::Instant;
 
-const LIMITS: RosterLimits =
-    RosterLimits { dead_after: Duration::from_secs(3), forgotten_after: Duration::from_secs(60) };
+const LIMITS: RosterTimeouts =
+    RosterTimeouts { dead_after: Duration::from_secs(3), expire_after: Duration::from_secs(60) };
 /// All links are alike, but where a test says otherwise.
 const LINK_MBPS: u32 = 1_000;
 const ROUND_MS: u64 = 400;
@@ -36,9 +36,9 @@
         self.rosters[number] = Some(Roster::new(address(number), LINK_MBPS, seeds, LIMITS));
     }
 
-    fn message(&self, number: usize, now: Instant) -> Vec<Heard> {
+    fn message(&self, number: usize, now: Instant) -> Vec<MemberReport> {
         let roster = self.rosters[number].as_ref().unwrap();
-        let own = Heard {
+        let own = MemberReport {
             address: address(number),
             age: Duration::ZERO,
             is_leaving: false,
@@ -59,9 +59,13 @@
                 usize::try_from(*draws >> 33).unwrap() % below
             };
             let Some(roster) = &self.rosters[asking] else { continue };
-            let reach = if (self.now / ROUND_MS).is_multiple_of(4) { Reach::Any } else { Reach::Reader };
+            let reach = if (self.now / ROUND_MS).is_multiple_of(4) {
+                Reach::RelayAndRandom
+            } else {
+                Reach::RelayOnly
+            };
             let mut contacts = roster.contacts(reach, false, now, &mut draw);
-            contacts.extend(roster.lost_contact(now, &mut draw));
+            contacts.extend(roster.reconnect_contact(now, &mut draw));
             for contact in contacts {
                 self.exchange(asking, contact.address(), now);
             }
@@ -75,7 +79,7 @@
         }
         for (from, to) in [(asking, asked), (asked, asking)] {
             for heard in self.message(from, now) {
-                self.rosters[to].as_mut().unwrap().hear(&heard, now);
+                self.rosters[to].as_mut().unwrap().merge_direct(&heard, now);
             }
         }
     }
@@ -100,14 +104,14 @@
 fn knowing_all(own: usize, size: usize, now: Instant) -> Roster {
     let mut roster = Roster::new(address(own), LINK_MBPS, &[], LIMITS);
     for other in (0..size).filter(|other| *other != own) {
-        let heard = Heard {
+        let heard = MemberReport {
             address: address(other),
             age: Duration::ZERO,
             is_leaving: false,
             is_store_failing: false,
             link_mbps: LINK_MBPS,
         };
-        roster.hear(&heard, now);
+        roster.merge_direct(&heard, now);
     }
     roster
 }
@@ -154,22 +158,22 @@
 fn one_that_leaves_is_live_no_more_at_once() {
     let mut roster = Roster::new(address(0), LINK_MBPS, &[], LIMITS);
     let now = Instant::from_millis(10_000);
-    let mut heard = Heard {
+    let mut heard = MemberReport {
         address: address(1),
         age: Duration::from_millis(500),
         is_leaving: false,
         is_store_failing: false,
         link_mbps: LINK_MBPS,
     };
-    roster.hear(&heard, now);
+    roster.merge_direct(&heard, now);
     assert_eq!(roster.live_count(now), 2);
     heard.is_leaving = true;
     heard.age = Duration::from_millis(100);
-    roster.hear(&heard, now);
+    roster.merge_direct(&heard, now);
     assert_eq!(roster.live_count(now), 1);
     heard.is_leaving = false;
     heard.age = Duration::from_millis(400);
-    roster.hear(&heard, now);
+    roster.merge_direct(&heard, now);
     assert_eq!(roster.live_count(now), 1, "older message does not undo newer");
 }
 
@@ -178,8 +182,8 @@
     let now = Instant::from_millis(10_000);
     let mut roster = Roster::new(address(0), LINK_MBPS, &[], LIMITS);
     for number in 1..5 {
-        roster.hear(
-            &Heard {
+        roster.merge_direct(
+            &MemberReport {
                 address: address(number),
                 age: Duration::ZERO,
                 is_leaving: false,
@@ -206,7 +210,7 @@
             drawn = drawn.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             usize::try_from(drawn >> 33).unwrap() % below
         };
-        let reader = roster.contacts(Reach::Reader, false, now, &mut draw)[0].address();
+        let reader = roster.contacts(Reach::RelayOnly, false, now, &mut draw)[0].address();
         let number = (0..size).find(|number| address(*number) == reader).unwrap();
         asked[number] += 1;
     }
@@ -228,7 +232,7 @@
         };
         // Twelve rounds are what a connection is kept for.
         for round in 0..12 {
-            let reach = if round % 4 == 0 { Reach::Any } else { Reach::Reader };
+            let reach = if round % 4 == 0 { Reach::RelayAndRandom } else { Reach::RelayOnly };
             asked.extend(roster.contacts(reach, false, now, &mut draw).iter().map(|one| one.address()));
         }
     }
@@ -247,7 +251,7 @@
             has_news[reader] = true;
             let (mut telling, mut messages) = (vec![(reader, Origin::Store)], 0);
             while let Some((sender, origin)) = telling.pop() {
-                for listener in rosters[sender].listeners(origin, false, now) {
+                for listener in rosters[sender].push_targets(origin, false, now) {
                     messages += 1;
                     let listener = (0..size).find(|number| address(*number) == listener).unwrap();
                     if !std::mem::replace(&mut has_news[listener], true) {
@@ -276,7 +280,7 @@
         has_news[reader] = true;
         let mut telling = vec![(reader, Origin::Store)];
         while let Some((sender, origin)) = telling.pop() {
-            for listener in rosters[sender].listeners(origin, false, now) {
+            for listener in rosters[sender].push_targets(origin, false, now) {
                 let listener = (0..size).find(|number| address(*number) == listener).unwrap();
                 if listener != dead && !std::mem::replace(&mut has_news[listener], true) {
                     telling.push((listener, Origin::Peer));
@@ -295,14 +299,14 @@
     let rank = |own: u32, own_reads_fail: bool, others: [u32; 3]| {
         let mut roster = Roster::new(address(0), own, &[], LIMITS);
         for (number, link_mbps) in (1..).zip(others) {
-            let heard = Heard {
+            let heard = MemberReport {
                 address: address(number),
                 age: Duration::ZERO,
                 is_leaving: false,
                 is_store_failing: false,
                 link_mbps,
             };
-            roster.hear(&heard, now);
+            roster.merge_direct(&heard, now);
         }
         roster.own_rank(own_reads_fail, now)
     };
--- a/crates/bendhinge_fleet/tests/roster_explored.rs
+++ b/crates/bendhinge_fleet/tests/roster_fuzz.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use bendhinge_fleet::{Contact, Heard, Reach, Roster, RosterLimits};
+use bendhinge_fleet::{Contact, MemberReport, Reach, Roster, RosterTimeouts};
 use bendhinge_ids::Instant;
 
-const LIMITS: RosterLimits =
-    RosterLimits { dead_after: Duration::from_secs(3), forgotten_after: Duration::from_secs(60) };
+const LIMITS: RosterTimeouts =
+    RosterTimeouts { dead_after: Duration::from_secs(3), expire_after: Duration::from_secs(60) };
 const ROUND_MS: u64 = 400;
 const LINK_MBPS: u32 = 20;
 /// After so many rounds without trouble all know each other: the time after which a member that was lost is
@@ -22,8 +22,8 @@
 }
 
 /// What a router tells of itself.
-fn heard(number: usize) -> Heard {
-    Heard {
+fn heard(number: usize) -> MemberReport {
+    MemberReport {
         address: address(number),
         age: Duration::ZERO,
         is_leaving: false,
@@ -118,12 +118,16 @@
             };
             let now = Instant::from_millis(self.now);
             router.last_ran = self.now;
-            roster.forget(now);
+            roster.remove_expired(now);
             let mut drawn = drawn.into_iter();
             let mut draw = |below: usize| drawn.next().unwrap_or_default() % below;
-            let reach = if (self.now / ROUND_MS).is_multiple_of(4) { Reach::Any } else { Reach::Reader };
+            let reach = if (self.now / ROUND_MS).is_multiple_of(4) {
+                Reach::RelayAndRandom
+            } else {
+                Reach::RelayOnly
+            };
             let mut contacts = roster.contacts(reach, false, now, &mut draw);
-            contacts.extend(roster.lost_contact(now, &mut draw));
+            contacts.extend(roster.reconnect_contact(now, &mut draw));
             for contact in contacts {
                 self.exchange(asking, contact);
             }
@@ -139,7 +143,7 @@
         if !runs || self.routers[asked].side != self.routers[asking].side {
             return;
         }
-        let tells_all = matches!(contact, Contact::Reader(_) | Contact::Lost(_));
+        let tells_all = matches!(contact, Contact::Relay(_) | Contact::Reconnect(_));
         self.tell(asking, asked, tells_all || self.routers[asking].is_old);
         if self.routers[asking].fate != Fate::Deaf {
             self.tell(asked, asking, true);
@@ -153,17 +157,17 @@
         let telling = self.routers[sender].roster.as_ref().unwrap();
         let digest = telling.digest();
         let states = telling.states_for(address(listener), now);
-        let members: Vec<Heard> = telling.members(now).collect();
+        let members: Vec<MemberReport> = telling.members(now).collect();
         let listening = self.routers[listener].roster.as_mut().unwrap();
-        listening.hear(&own, now);
+        listening.merge_direct(&own, now);
         if !tells_members {
             return;
         }
         if !is_old && listening.digest() == digest {
-            listening.hear_states(&states, from, now);
+            listening.merge_states(&states, from, now);
         } else {
             for heard in &members {
-                listening.hear_told(heard, from, now);
+                listening.merge_reported(heard, from, now);
             }
         }
     }
--- a/crates/bendhinge_fleet/tests/roster_states.rs
+++ b/crates/bendhinge_fleet/tests/roster_states.rs
@@ -4,11 +4,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bendhinge_fleet::{Contact, Heard, MemberStates, Reach, Roster, RosterDigest, RosterLimits};
+use bendhinge_fleet::{Contact, MemberReport, MemberStates, Reach, Roster, RosterDigest, RosterTimeouts};
 use bendhinge_ids::Instant;
 
-const LIMITS: RosterLimits =
-    RosterLimits { dead_after: Duration::from_secs(3), forgotten_after: Duration::from_secs(60) };
+const LIMITS: RosterTimeouts =
+    RosterTimeouts { dead_after: Duration::from_secs(3), expire_after: Duration::from_secs(60) };
 const ROUND_MS: u64 = 400;
 /// Bytes of a member that is told in full, before compression.
 const LISTED_BYTES: usize = 24;
@@ -24,8 +24,8 @@
     if number < WIDE { 200 } else { 20 }
 }
 
-fn heard(number: usize, age_ms: u64) -> Heard {
-    Heard {
+fn heard(number: usize, age_ms: u64) -> MemberReport {
+    MemberReport {
         address: address(number),
         age: Duration::from_millis(age_ms),
         is_leaving: false,
@@ -36,7 +36,7 @@
 
 /// What one tells another of members.
 enum Told {
-    Listed(Vec<Heard>),
+    Listed(Vec<MemberReport>),
     States(MemberStates),
 }
 
@@ -79,12 +79,13 @@
         for asking in 0..self.rosters.len() {
             self.now = began + (asking as u64 * 7_919) % ROUND_MS;
             let now = Instant::from_millis(self.now);
-            let reach = if (began / ROUND_MS).is_multiple_of(4) { Reach::Any } else { Reach::Reader };
+            let reach =
+                if (began / ROUND_MS).is_multiple_of(4) { Reach::RelayAndRandom } else { Reach::RelayOnly };
             let mut drawn = (0..8).map(|_| self.draw(usize::MAX)).collect::<Vec<_>>().into_iter();
             let mut draw = |below: usize| drawn.next().unwrap_or_default() % below;
             let Some(roster) = &self.rosters[asking] else { continue };
             let mut contacts = roster.contacts(reach, false, now, &mut draw);
-            contacts.extend(roster.lost_contact(now, &mut draw));
+            contacts.extend(roster.reconnect_contact(now, &mut draw));
             for contact in contacts {
                 self.exchange(asking, contact, now);
             }
@@ -101,7 +102,7 @@
         let asked = (0..self.rosters.len()).find(|number| address(*number) == asked);
         let Some(asked) = asked.filter(|asked| self.rosters[*asked].is_some()) else { return };
         // Others than the own reader are asked and told nothing of members.
-        if !matches!(contact, Contact::OtherReader(_) | Contact::Any(_)) {
+        if !matches!(contact, Contact::AlternateRelay(_) | Contact::Random(_)) {
             self.tell(asking, asked, now);
         }
         self.hear(asked, asking, now);
@@ -110,7 +111,7 @@
     }
 
     fn hear(&mut self, listener: usize, sender: usize, now: Instant) {
-        self.rosters[listener].as_mut().unwrap().hear(&heard(sender, 0), now);
+        self.rosters[listener].as_mut().unwrap().merge_direct(&heard(sender, 0), now);
     }
 
     fn tell(&mut self, sender: usize, listener: usize, now: Instant) {
@@ -121,10 +122,10 @@
         match told {
             Told::Listed(members) => {
                 for heard in &members {
-                    roster.hear_told(heard, address(sender), now);
+                    roster.merge_reported(heard, address(sender), now);
                 }
             }
-            Told::States(states) => roster.hear_states(&states, address(sender), now),
+            Told::States(states) => roster.merge_states(&states, address(sender), now),
         }
     }
 
@@ -187,7 +188,7 @@
     let knowing = |own: usize, others: &[usize]| {
         let mut roster = Roster::new(address(own), link_mbps(own), &[], LIMITS);
         for other in others {
-            roster.hear(&heard(*other, 0), now);
+            roster.merge_direct(&heard(*other, 0), now);
         }
         roster
     };
@@ -195,9 +196,9 @@
     assert_ne!(knowing(0, &[1, 2]).digest(), knowing(0, &[1]).digest());
     assert_ne!(knowing(0, &[1, 2]).digest(), knowing(0, &[1, 3]).digest());
     let mut forgetting = knowing(0, &[1]);
-    forgetting.hear(&heard(2, 59_000), now);
+    forgetting.merge_direct(&heard(2, 59_000), now);
     assert_eq!(forgetting.digest(), knowing(0, &[1, 2]).digest());
-    forgetting.forget(now + Duration::from_secs(2));
+    forgetting.remove_expired(now + Duration::from_secs(2));
     assert_eq!(forgetting.digest(), knowing(0, &[1]).digest());
 }
 
@@ -205,11 +206,11 @@
 fn a_member_whose_link_changed_is_another_to_the_digest() {
     let now = Instant::from_millis(10_000);
     let mut roster = Roster::new(address(0), 200, &[], LIMITS);
-    roster.hear(&heard(1, 1_000), now);
+    roster.merge_direct(&heard(1, 1_000), now);
     let before = roster.digest();
-    roster.hear(&Heard { link_mbps: 1, ..heard(1, 0) }, now);
+    roster.merge_direct(&MemberReport { link_mbps: 1, ..heard(1, 0) }, now);
     assert_ne!(roster.digest(), before);
-    roster.hear(&heard(1, 0), now + Duration::from_millis(1));
+    roster.merge_direct(&heard(1, 0), now + Duration::from_millis(1));
     assert_eq!(roster.digest(), before);
 }
 
@@ -220,15 +221,15 @@
     let mut listening = Roster::new(address(1), link_mbps(1), &[], LIMITS);
     for roster in [&mut telling, &mut listening] {
         for number in 0..4 {
-            roster.hear(&heard(number, 1_000), now);
+            roster.merge_direct(&heard(number, 1_000), now);
         }
     }
-    telling.hear(&Heard { is_leaving: true, ..heard(2, 100) }, now);
-    telling.hear(&Heard { is_store_failing: true, ..heard(3, 100) }, now);
+    telling.merge_direct(&MemberReport { is_leaving: true, ..heard(2, 100) }, now);
+    telling.merge_direct(&MemberReport { is_store_failing: true, ..heard(3, 100) }, now);
     assert_eq!(telling.digest(), listening.digest());
-    listening.hear_states(&telling.states_for(address(1), now), address(0), now);
+    listening.merge_states(&telling.states_for(address(1), now), address(0), now);
     assert_eq!(listening.live_count(now), 3);
-    let failing = |heard: Heard| heard.address == address(3) && heard.is_store_failing;
+    let failing = |heard: MemberReport| heard.address == address(3) && heard.is_store_failing;
     assert!(listening.members(now).any(failing));
     assert!(listening.members(now).all(|heard| heard.age >= Duration::from_millis(100)), "none is younger");
 }
@@ -237,9 +238,9 @@
 fn states_of_other_members_are_not_taken() {
     let now = Instant::from_millis(10_000);
     let mut roster = Roster::new(address(0), link_mbps(0), &[], LIMITS);
-    roster.hear(&heard(1, 1_000), now);
+    roster.merge_direct(&heard(1, 1_000), now);
     for states in [vec![], vec![0], vec![0, 0, 0]] {
-        roster.hear_states(&MemberStates(states), address(1), now);
+        roster.merge_states(&MemberStates(states), address(1), now);
     }
     assert!(roster.members(now).all(|heard| heard.age == Duration::from_secs(1)));
 }
@@ -248,9 +249,9 @@
 fn nobody_is_told_what_it_told_itself() {
     let now = Instant::from_millis(10_000);
     let mut roster = Roster::new(address(0), link_mbps(0), &[], LIMITS);
-    roster.hear_told(&heard(1, 0), address(2), now);
-    roster.hear(&heard(2, 0), now);
-    roster.hear(&heard(3, 0), now);
+    roster.merge_reported(&heard(1, 0), address(2), now);
+    roster.merge_direct(&heard(2, 0), now);
+    roster.merge_direct(&heard(3, 0), now);
     let MemberStates(states) = roster.states_for(address(2), now);
     let told: Vec<u8> = states.iter().copied().filter(|state| *state == 0).collect();
     assert_eq!(told, [0], "only of the third: {states:?}");
@@ -263,19 +264,19 @@
         let began = 10_000;
         let mut elapsed: u64 = random.int_in_range(0..=300)?;
         let mut telling = Roster::new(address(0), link_mbps(0), &[], LIMITS);
-        telling.hear(&heard(9, 0), Instant::from_millis(began));
+        telling.merge_direct(&heard(9, 0), Instant::from_millis(began));
         for next in 1..=random.int_in_range(1..=6)? {
             let now = Instant::from_millis(began + elapsed);
             let mut listening = Roster::new(address(next), link_mbps(next), &[], LIMITS);
             // It knows the same members, of one of them from long ago.
-            listening.hear(&heard(next - 1, 0), now);
-            listening.hear(&heard(9, 9_000), now);
-            telling.hear(&heard(next, 0), now);
+            listening.merge_direct(&heard(next - 1, 0), now);
+            listening.merge_direct(&heard(9, 9_000), now);
+            telling.merge_direct(&heard(next, 0), now);
             for forgotten in 0..next.saturating_sub(1) {
-                listening.hear(&heard(forgotten, 5_000), now);
+                listening.merge_direct(&heard(forgotten, 5_000), now);
             }
             assert_eq!(telling.digest(), listening.digest());
-            listening.hear_states(&telling.states_for(address(next), now), address(next - 1), now);
+            listening.merge_states(&telling.states_for(address(next), now), address(next - 1), now);
             let age = listening.members(now).find(|heard| heard.address == address(9)).unwrap().age;
             assert!(age >= Duration::from_millis(elapsed), "{age:?} after {elapsed} ms");
             assert!(elapsed > 2_500 || age < Duration::from_secs(9), "it is told");
--- a/crates/bendhinge_fleet/tests/long_list.rs
+++ b/crates/bendhinge_fleet/tests/store_read_fanout.rs
@@ -7,18 +7,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bendhinge_fleet::{Contact, Heard, Origin, Reach, ReadingLimits, ReadingPlan, Roster, RosterLimits};
+use bendhinge_fleet::{
+    Contact, MemberReport, Origin, Reach, Roster, RosterTimeouts, StoreReadSchedule, StoreReadTimings,
+};
 use bendhinge_ids::Instant;
 
-const READING: ReadingLimits = ReadingLimits {
-    first: Duration::from_millis(700),
-    step: Duration::from_millis(600),
-    last: Duration::from_millis(2_200),
-    retry: Duration::from_millis(2_000),
-    urgent_retry: Duration::from_millis(300),
+const READING: StoreReadTimings = StoreReadTimings {
+    first_rank_age: Duration::from_millis(700),
+    rank_step: Duration::from_millis(600),
+    max_age: Duration::from_millis(2_200),
+    retry_delay: Duration::from_millis(2_000),
+    urgent_retry_delay: Duration::from_millis(300),
 };
-const ROSTER: RosterLimits =
-    RosterLimits { dead_after: Duration::from_secs(3), forgotten_after: Duration::from_mins(1) };
+const ROSTER: RosterTimeouts =
+    RosterTimeouts { dead_after: Duration::from_secs(3), expire_after: Duration::from_mins(1) };
 /// The period of exchanges, and of looks at whose turn it is.
 const ROUND_MS: u64 = 400;
 const LOOK_MS: u64 = 100;
@@ -59,7 +61,7 @@
 
 struct Router {
     roster: Roster,
-    plan: ReadingPlan,
+    plan: StoreReadSchedule,
     started_ms: u64,
     is_reading: bool,
     holds_list: bool,
@@ -80,7 +82,7 @@
             let started_ms = 1_000 + mixed(number as u64) % STARTS_MS;
             let seeds: Vec<_> = (0..3).map(|seed| address(seed * count / 3)).collect();
             let roster = Roster::new(address(number), link_mbps(number), &seeds, ROSTER);
-            let plan = ReadingPlan::new(READING);
+            let plan = StoreReadSchedule::new(READING);
             let router =
                 Router { roster, plan, started_ms, is_reading: false, holds_list: false, is_fetching: false };
             fleet.routers.push(router);
@@ -94,8 +96,8 @@
         self.events.push(std::cmp::Reverse((ms, event)));
     }
 
-    fn heard(number: usize) -> Heard {
-        Heard {
+    fn heard(number: usize) -> MemberReport {
+        MemberReport {
             address: address(number),
             age: Duration::ZERO,
             is_leaving: false,
@@ -134,9 +136,12 @@
             usize::try_from(mixed(draws)).unwrap() % below
         };
         let roster = &self.routers[number].roster;
-        let mut asked: Vec<_> =
-            roster.contacts(Reach::Any, false, now, &mut draw).into_iter().map(Contact::address).collect();
-        asked.extend(roster.lost_contact(now, &mut draw).map(Contact::address));
+        let mut asked: Vec<_> = roster
+            .contacts(Reach::RelayAndRandom, false, now, &mut draw)
+            .into_iter()
+            .map(Contact::address)
+            .collect();
+        asked.extend(roster.reconnect_contact(now, &mut draw).map(Contact::address));
         self.draws = draws;
         for address in asked {
             let other = Self::number_of(address);
@@ -154,16 +159,16 @@
     /// `teller` tells `listener` whom it knows, and that it holds the list if it does.
     fn tell(&mut self, teller: usize, listener: usize, now: Instant) {
         let sender = Self::heard(teller);
-        let members: Vec<Heard> =
+        let members: Vec<MemberReport> =
             if self.routers[teller].roster.digest() == self.routers[listener].roster.digest() {
                 Vec::new()
             } else {
                 self.routers[teller].roster.members(now).collect()
             };
         let roster = &mut self.routers[listener].roster;
-        roster.hear(&sender, now);
+        roster.merge_direct(&sender, now);
         for member in &members {
-            roster.hear_told(member, sender.address, now);
+            roster.merge_reported(member, sender.address, now);
         }
         if self.routers[teller].holds_list {
             self.fetch(listener, now);
@@ -184,7 +189,7 @@
         if router.holds_list || router.is_reading {
             return;
         }
-        let turn = router.plan.turn(router.roster.own_rank(false, now), false);
+        let turn = router.plan.full_list_delay(router.roster.own_rank(false, now), false);
         if Duration::from_millis(ms - router.started_ms) < turn {
             self.at(ms + LOOK_MS, Event::Look(number));
             return;
@@ -199,7 +204,7 @@
             return;
         }
         let origin = if from_store { Origin::Store } else { Origin::Peer };
-        for listener in self.routers[number].roster.listeners(origin, false, now) {
+        for listener in self.routers[number].roster.push_targets(origin, false, now) {
             self.fetch(Self::number_of(listener), now);
         }
     }
--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_fleet::{Contact, ListTold, Origin, Reach, UpstreamList};
+use bendhinge_fleet::{Contact, ListUpdate, Origin, Reach, UpstreamList};
 use bendhinge_peer::{FleetDuties, Known, ObservedRead, PeerMessage, ReadsPage};
 use bytes::Bytes;
 use futures_lite::FutureExt;
@@ -32,14 +32,14 @@
     loop {
         let now = bendhinge_clock::now();
         let failing = control.is_store_failing();
-        let reach = if round.is_multiple_of(ANY_EVERY) { Reach::Any } else { Reach::Reader };
+        let reach = if round.is_multiple_of(ANY_EVERY) { Reach::RelayAndRandom } else { Reach::RelayOnly };
         let mut contacts: Vec<Contact> = if is_seeking(&control) {
-            control.roster.borrow().any_contact(now, &mut draw).into_iter().collect()
+            control.roster.borrow().random_contact(now, &mut draw).into_iter().collect()
         } else {
             control.roster.borrow().contacts(reach, failing, now, &mut draw)
         };
         if contacts.is_empty() || round.is_multiple_of(LOST_EVERY) {
-            contacts.extend(control.roster.borrow().lost_contact(now, &mut draw));
+            contacts.extend(control.roster.borrow().reconnect_contact(now, &mut draw));
         }
         for contact in contacts {
             let asking = Rc::clone(&control);
@@ -71,7 +71,7 @@
 /// Tells those who hear news from this gateway that there is some; they fetch what they lack.
 pub(super) async fn tell_news(control: &Rc<Control>, origin: Origin) {
     let failing = control.is_store_failing();
-    let listeners = control.roster.borrow().listeners(origin, failing, bendhinge_clock::now());
+    let listeners = control.roster.borrow().push_targets(origin, failing, bendhinge_clock::now());
     let told = listeners.into_iter().map(|address| {
         let control = Rc::clone(control);
         let executor = Rc::clone(&control.executor);
@@ -96,7 +96,7 @@
         let failing = control.is_store_failing();
         let tells_on = !control.roster.borrow().is_small();
         let quarantine = &control.delivering.quarantine;
-        let listeners = control.roster.borrow().suspicion_listeners(origin, failing, now);
+        let listeners = control.roster.borrow().suspicion_push_targets(origin, failing, now);
         for address in listeners {
             if !quarantine.has_changes(address, since, tells_on) {
                 continue;
@@ -137,14 +137,14 @@
     let content = match contact {
         // It hears of reads and loads from others as this one does. Of what both were told a part would arrive
         // earlier this way, and go on as news.
-        Contact::OtherReader(_) | Contact::Any(_) => Content::Probe,
-        Contact::Reader(_) | Contact::Lost(_) => Content::Whole,
+        Contact::AlternateRelay(_) | Contact::Random(_) => Content::Probe,
+        Contact::Relay(_) | Contact::Reconnect(_) => Content::Whole,
     };
-    let is_reader = matches!(contact, Contact::Reader(_) | Contact::OtherReader(_));
+    let is_reader = matches!(contact, Contact::Relay(_) | Contact::AlternateRelay(_));
     if ask(control, contact.address(), content).await || !is_reader {
         return;
     }
-    let another = control.roster.borrow().any_contact(bendhinge_clock::now(), &mut draw);
+    let another = control.roster.borrow().random_contact(bendhinge_clock::now(), &mut draw);
     if let Some(another) = another {
         ask(control, another.address(), Content::Whole).await;
     }
@@ -186,10 +186,14 @@
     fn note_answer(&self, address: SocketAddr, message: &PeerMessage, answer: &PeerMessage) {
         let mut peers = self.peer_states.borrow_mut();
         if let Some(told) = message.told {
-            peers.told(address, answer.told.map(|position| position.life), told.number);
+            peers.record_acknowledged(
+                address,
+                answer.told.map(|position| position.incarnation),
+                told.sequence,
+            );
         }
         if let Some(told) = answer.told {
-            peers.heard(address, told);
+            peers.record_received(address, told);
         }
     }
 
@@ -253,7 +257,7 @@
         self.0.delivering.upstreams.part()
     }
 
-    fn upstreams(&self, base: Option<u64>) -> Option<(Known, ListTold)> {
+    fn upstreams(&self, base: Option<u64>) -> Option<(Known, ListUpdate)> {
         let upstreams = &self.0.delivering.upstreams;
         let known = upstreams.known(bendhinge_clock::now())?;
         Some((known, upstreams.list_to_tell(base)?))
--- a/crates/bendhinge_gateway/src/control/fetching.rs
+++ b/crates/bendhinge_gateway/src/control/fetching.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use bendhinge_fleet::{FetchPlan, Holder, ListTold, Offer, Origin, UpstreamList, Version};
+use bendhinge_fleet::{FetchPlan, FetchSource, ListUpdate, Origin, UpdateOutcome, UpstreamList, Version};
 use bendhinge_ids::Instant;
 use bendhinge_peer::{CallError, Known, PeerMessage};
 use bytes::Bytes;
@@ -28,14 +28,19 @@
 impl Fetching {
     /// Fetches from `holder` by `fetch`, then from whoever told of something meanwhile that still
     /// `lacks`. Does nothing but remember the holder while a fetch is under way.
-    async fn run(&self, holder: Holder, lacks: impl Fn(Version) -> bool, fetch: impl AsyncFn(SocketAddr)) {
-        if !self.0.borrow_mut().told(holder, &lacks) {
+    async fn run(
+        &self,
+        holder: FetchSource,
+        lacks: impl Fn(Version) -> bool,
+        fetch: impl AsyncFn(SocketAddr),
+    ) {
+        if !self.0.borrow_mut().announce(holder, &lacks) {
             return;
         }
         let _ended = Ended(self);
         loop {
             // The plan is free while the fetch is under way: others tell of news meanwhile.
-            let next = self.0.borrow_mut().next(&lacks);
+            let next = self.0.borrow_mut().next_source(&lacks);
             let Some(holder) = next else { return };
             fetch(holder.address).await;
         }
@@ -47,7 +52,7 @@
 
 impl Drop for Ended<'_> {
     fn drop(&mut self) {
-        self.0.0.borrow_mut().given_up();
+        self.0.0.borrow_mut().cancel();
     }
 }
 
@@ -55,7 +60,7 @@
     /// Fetches what the gateway at `address` holds and this one lacks, as its `message` says.
     pub(super) async fn fetch_news(self: &Rc<Self>, address: SocketAddr, message: &PeerMessage) {
         let Delivering { rules, upstreams, .. } = &*self.delivering;
-        let holder = |known: Known| Holder { address, version: known.version };
+        let holder = |known: Known| FetchSource { address, version: known.version };
         let list = async {
             if let Some(holder) = message.upstreams.map(holder) {
                 let lacks = |version| upstreams.lacks(version);
@@ -73,7 +78,7 @@
         let part = async {
             if message.is_begun {
                 // Any part will do: they have no versions.
-                let holder = Holder { address, version: Version::default() };
+                let holder = FetchSource { address, version: Version::default() };
                 let lacks = |_| !upstreams.is_begun();
                 let fetch = async |address| self.fetch_part(address).await;
                 self.fetching_part.run(holder, lacks, fetch).await;
@@ -115,8 +120,8 @@
         let fetched = self.note_fetch(Believed::Upstreams, address, asked, fetched);
         let Some((known, told)) = fetched else { return true };
         let list = match told {
-            ListTold::Whole(list) => Some(list),
-            ListTold::Changes { base, changes } => {
+            ListUpdate::Full(list) => Some(list),
+            ListUpdate::Delta { base, delta: changes } => {
                 let list = self.delivering.upstreams.list_with(base, &changes);
                 list.filter(|list| list.digest() == known.version.digest)
             }
@@ -142,23 +147,29 @@
 
     /// Takes a document of rules that was known to be current `known.age` before `asked`.
     pub(super) fn take_rules(self: &Rc<Self>, known: &Known, asked: Instant, document: Bytes, from: Origin) {
-        if self.hold_rules(known, asked, document, from) == Offer::New {
+        if self.hold_rules(known, asked, document, from) == UpdateOutcome::Updated {
             self.spread(from);
         }
     }
 
     /// The same, without telling others.
-    pub(super) fn hold_rules(&self, known: &Known, asked: Instant, document: Bytes, from: Origin) -> Offer {
+    pub(super) fn hold_rules(
+        &self,
+        known: &Known,
+        asked: Instant,
+        document: Bytes,
+        from: Origin,
+    ) -> UpdateOutcome {
         let rules = match self.delivering.dialect.read_rules(&document) {
             Ok(rules) => rules,
             Err(error) => {
                 self.delivering.log.process("rules_refused", from.as_str(), &error.to_string());
-                return Offer::Old;
+                return UpdateOutcome::Stale;
             }
         };
         let offered = RulesInForce { rules, document };
         let offer = self.delivering.rules.offer(known.version, asked - known.age, offered);
-        if offer == Offer::New {
+        if offer == UpdateOutcome::Updated {
             let age = bendhinge_clock::now().since(asked - known.age);
             // Operators know the rules by the revision of the document.
             let shown = Version { revision: known.version.document(), ..known.version };
@@ -179,10 +190,10 @@
         let drained = list.drained.clone();
         let were_drained = upstreams.list().map(|held| held.drained.clone()).unwrap_or_default();
         let offer = upstreams.offer(known.version, asked - known.age, list);
-        if offer == Offer::New && drained != were_drained {
+        if offer == UpdateOutcome::Updated && drained != were_drained {
             log.drained(&drained, from);
         }
-        if offer == Offer::New {
+        if offer == UpdateOutcome::Updated {
             let age = bendhinge_clock::now().since(asked - known.age);
             log.belief(Believed::Upstreams, known.version, from, age);
             self.delivering.quarantine.follow_software(upstreams.software());
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bendhinge_fleet::{Heard, NewsPosition, PeerSaid, PeerState};
+use bendhinge_fleet::{LogPosition, MemberReport, PeerState, PeerSummary};
 use bendhinge_ids::Instant;
 use bendhinge_peer::PeerMessage;
 
@@ -49,8 +49,8 @@
         upstreams: control.delivering.upstreams.known(now),
         is_begun: control.delivering.upstreams.part().is_some(),
         roster: control.roster.borrow().digest(),
-        told: Some(NewsPosition { life: control.life, number: 0 }),
-        heard: peer.and_then(|peer| peer.heard),
+        told: Some(LogPosition { incarnation: control.life, sequence: 0 }),
+        heard: peer.and_then(|peer| peer.received),
         quarantine: control.delivering.quarantine.digest(),
         ..PeerMessage::from_sender(control.sender())
     };
@@ -66,7 +66,7 @@
         telling.members(&mut message);
     }
     if content == Content::Whole {
-        let known = peer.map_or(0, |peer| peer.said.quarantine);
+        let known = peer.map_or(0, |peer| peer.summary.quarantine_digest);
         message.suspicions = quarantine.that_differs(known, now);
         message.doubts = control.delivering.upstreams.doubts_to_tell(listener, now);
         telling.loads(&mut message);
@@ -87,7 +87,7 @@
 impl Telling<'_> {
     fn members(&self, message: &mut PeerMessage) {
         let roster = self.control.roster.borrow();
-        if self.peer.is_some_and(|peer| peer.said.roster == message.roster) {
+        if self.peer.is_some_and(|peer| peer.summary.roster_digest == message.roster) {
             message.member_states = Some(roster.states_for(self.listener, self.now));
         } else {
             message.members = roster.members(self.now).collect();
@@ -97,7 +97,8 @@
     fn loads(&self, message: &mut PeerMessage) {
         let upstreams = &self.control.delivering.upstreams;
         let held = message.upstreams.map(|known| known.version.digest);
-        let is_same = held.is_some() && self.peer.is_some_and(|peer| peer.said.upstreams == held);
+        let is_same =
+            held.is_some() && self.peer.is_some_and(|peer| peer.summary.upstream_list_digest == held);
         if is_same {
             message.list_loads = upstreams.list_loads_to_tell(self.listener, self.now);
         } else {
@@ -109,13 +110,15 @@
         let Control { delivering, life, .. } = self.control;
         let told = match question {
             // Who asks knows best what reached it.
-            Some(question) => question.heard.filter(|heard| heard.life == *life).map(|heard| heard.number),
-            None => self.peer.and_then(|peer| peer.told),
+            Some(question) => {
+                question.heard.filter(|heard| heard.incarnation == *life).map(|heard| heard.sequence)
+            }
+            None => self.peer.and_then(|peer| peer.acknowledged),
         };
         let news = delivering.upstreams.reads_to_tell(self.listener, told, self.now);
         delivering.metrics.reads_not_told(news.dropped);
-        message.reads = news.pieces.into_iter().map(|kept| observed_read(kept, self.now)).collect();
-        message.told = Some(NewsPosition { life: *life, number: news.up_to });
+        message.reads = news.entries.into_iter().map(|kept| observed_read(kept, self.now)).collect();
+        message.told = Some(LogPosition { incarnation: *life, sequence: news.last_sequence });
     }
 }
 
@@ -124,7 +127,7 @@
 pub(super) fn take_in(control: &Control, message: &PeerMessage, asked: Option<Instant>) {
     let now = bendhinge_clock::now();
     let from = message.sender.address;
-    control.peer_states.borrow_mut().said(from, said_by(message), now);
+    control.peer_states.borrow_mut().record_summary(from, said_by(message), now);
     take_in_members(control, message, now);
     let upstreams = &control.delivering.upstreams;
     // Of what only guides choices, a message that nobody asked for tells as much: it may be older than
@@ -152,28 +155,28 @@
 fn take_in_members(control: &Control, message: &PeerMessage, now: Instant) {
     let from = message.sender.address;
     let mut roster = control.roster.borrow_mut();
-    roster.hear(&message.sender, now);
+    roster.merge_direct(&message.sender, now);
     for heard in &message.members {
-        roster.hear_told(heard, from, now);
+        roster.merge_reported(heard, from, now);
     }
     if let Some(states) = message.member_states.as_ref().filter(|_| message.roster == roster.digest()) {
-        roster.hear_states(states, from, now);
+        roster.merge_states(states, from, now);
     }
 }
 
-fn said_by(message: &PeerMessage) -> PeerSaid {
-    PeerSaid {
-        life: message.told.map(|told| told.life),
-        roster: message.roster,
-        upstreams: message.upstreams.map(|known| known.version.digest),
-        quarantine: message.quarantine,
+fn said_by(message: &PeerMessage) -> PeerSummary {
+    PeerSummary {
+        incarnation: message.told.map(|told| told.incarnation),
+        roster_digest: message.roster,
+        upstream_list_digest: message.upstreams.map(|known| known.version.digest),
+        quarantine_digest: message.quarantine,
     }
 }
 
 impl Control {
     /// What this gateway tells of itself.
-    fn sender(&self) -> Heard {
-        Heard {
+    fn sender(&self) -> MemberReport {
+        MemberReport {
             address: self.settings.peers,
             age: Duration::ZERO,
             is_leaving: self.lifecycle.is_stopping(),
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_fleet::{NewsLife, Origin, PeerStates, Roster};
+use bendhinge_fleet::{Origin, PeerStates, Roster, RouterIncarnation};
 use bendhinge_peer::{FleetClient, PeerPool, PeerPoolLimits, Traffic, serve_fleet};
 use rand::Rng;
 use smol::channel::Receiver;
@@ -51,7 +51,7 @@
     lost_track: Cell<bool>,
     peers: PeerPool<FleetClient>,
     /// This life of the gateway, as others tell it from the one before.
-    life: NewsLife,
+    life: RouterIncarnation,
     peer_states: RefCell<PeerStates>,
     fetching_rules: Fetching,
     fetching_upstreams: Fetching,
@@ -81,7 +81,7 @@
             is_read_along_slow: Cell::new(false),
             lost_track: Cell::new(false),
             peers,
-            life: NewsLife(rand::rng().random_range(1..=u64::MAX)),
+            life: RouterIncarnation(rand::rng().random_range(1..=u64::MAX)),
             peer_states: RefCell::new(PeerStates::new(PEERS_KEPT)),
             fetching_rules: Fetching::default(),
             fetching_upstreams: Fetching::default(),
@@ -141,9 +141,9 @@
     loop {
         Timer::after(PERIOD).await;
         let now = bendhinge_clock::now();
-        control.roster.borrow_mut().forget(now);
+        control.roster.borrow_mut().remove_expired(now);
         control.divide();
-        control.peer_states.borrow_mut().forget(now);
+        control.peer_states.borrow_mut().evict_idle(now);
         control.delivering.upstreams.prune();
         control.delivering.quarantine.prune();
         control.delivering.crash_looks.keep_only(|upstream| control.delivering.upstreams.lists(upstream));
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_fleet::{Reach, RelearnLimits, RelearnStep, RelearnView, Relearning, UpstreamEntry};
+use bendhinge_fleet::{
+    CacheRecovery, CacheRecoveryStep, CacheRecoveryTimings, FleetView, Reach, UpstreamEntry,
+};
 use bendhinge_http::{Fetched, fetch_path};
 use bendhinge_ids::Instant;
 use bendhinge_peer::{ObservedRead, ReadsPage};
@@ -19,12 +21,12 @@
 const LOOK: Duration = Duration::from_millis(100);
 /// Who asks the upstreams, and when. Asking takes the first some 0.1 s in a fleet of 22
 /// upstreams, after which the others learn from it.
-const LIMITS: RelearnLimits = RelearnLimits {
-    first: Duration::from_millis(100),
-    per_upstream: Duration::from_millis(6),
-    alone: Duration::from_millis(400),
-    step: Duration::from_secs(1),
-    given_up: Duration::from_secs(6),
+const LIMITS: CacheRecoveryTimings = CacheRecoveryTimings {
+    initial_delay: Duration::from_millis(100),
+    per_upstream_delay: Duration::from_millis(6),
+    isolated_delay: Duration::from_millis(400),
+    rank_step: Duration::from_secs(1),
+    timeout: Duration::from_secs(6),
 };
 /// How many upstreams are asked at the same time: as many answers are held in memory.
 const ASKED_AT_ONCE: usize = 32;
@@ -44,7 +46,7 @@
 
 impl Control {
     async fn learn(self: &Rc<Self>) {
-        let plan = Relearning::new(LIMITS, bendhinge_clock::now());
+        let plan = CacheRecovery::new(LIMITS, bendhinge_clock::now());
         loop {
             Timer::after(LOOK).await;
             if self.learn_from_another().await {
@@ -52,15 +54,15 @@
             }
             let Some(upstreams) = self.delivering.upstreams.list() else { continue };
             let now = bendhinge_clock::now();
-            let seen = RelearnView {
-                members: self.roster.borrow().live_count(now),
+            let seen = FleetView {
+                live_routers: self.roster.borrow().live_count(now),
                 rank: self.own_rank(now),
-                upstreams: upstreams.entries.len(),
+                upstream_count: upstreams.entries.len(),
             };
-            match plan.step(seen, now) {
-                RelearnStep::Wait => {}
-                RelearnStep::AskUpstreams => return self.learn_from_upstreams().await,
-                RelearnStep::GiveUp => return,
+            match plan.next_step(seen, now) {
+                CacheRecoveryStep::Wait => {}
+                CacheRecoveryStep::QueryUpstreams => return self.learn_from_upstreams().await,
+                CacheRecoveryStep::GiveUp => return,
             }
         }
     }
@@ -73,8 +75,12 @@
     /// Asks the gateway that hears of the store, or any; `false` if neither knew enough.
     async fn learn_from_another(&self) -> bool {
         let failing = self.is_store_failing();
-        let contacts =
-            self.roster.borrow().contacts(Reach::Any, failing, bendhinge_clock::now(), &mut super::draw);
+        let contacts = self.roster.borrow().contacts(
+            Reach::RelayAndRandom,
+            failing,
+            bendhinge_clock::now(),
+            &mut super::draw,
+        );
         for contact in contacts {
             if let Some(parts) = self.learn_from_peer(contact.address()).await {
                 self.delivering.log.recovered("peer", contact.address(), parts);
--- a/crates/bendhinge_gateway/src/control/store.rs
+++ b/crates/bendhinge_gateway/src/control/store.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_fleet::{Origin, ReadingLimits, ReadingPlan, Revision, UpstreamList, Version};
+use bendhinge_fleet::{Origin, Revision, StoreReadSchedule, StoreReadTimings, UpstreamList, Version};
 use bendhinge_ids::{DataCentreName, Instant};
 use bendhinge_peer::Known;
 use smol::Timer;
@@ -31,15 +31,15 @@
 /// old as it takes to read a megabyte of rules, nor be lost with them.
 pub(super) struct Reading {
     dependency: &'static str,
-    plan: RefCell<ReadingPlan>,
+    plan: RefCell<StoreReadSchedule>,
     /// Whether the store answered the last read.
     answers: Cell<Option<bool>>,
 }
 
 impl Reading {
     /// Nothing was read yet; `dependency` is the name for logs.
-    pub(super) const fn new(dependency: &'static str, limits: ReadingLimits) -> Self {
-        Self { dependency, plan: RefCell::new(ReadingPlan::new(limits)), answers: Cell::new(None) }
+    pub(super) const fn new(dependency: &'static str, limits: StoreReadTimings) -> Self {
+        Self { dependency, plan: RefCell::new(StoreReadSchedule::new(limits)), answers: Cell::new(None) }
     }
 
     fn is_failing(&self) -> bool {
@@ -92,10 +92,10 @@
         self.delivering.metrics.store_read(now.since(began), found.is_ok());
         match found {
             Ok(found) => {
-                reading.plan.borrow_mut().succeeded(now);
+                reading.plan.borrow_mut().record_success(now);
                 if part == StorePart::All {
                     // Rules that it did not hold are not asked for again at once.
-                    self.rules_reading.plan.borrow_mut().succeeded(now);
+                    self.rules_reading.plan.borrow_mut().record_success(now);
                 }
                 if part == StorePart::Rules {
                     self.is_read_along_slow.set(false);
@@ -111,7 +111,7 @@
             }
             Err(error) if held_up_to.is_some() && error.is_history_lost() => self.lost_track.set(true),
             Err(error) => {
-                reading.plan.borrow_mut().failed(now);
+                reading.plan.borrow_mut().record_failure(now);
                 if part == StorePart::All && error.is_slow() {
                     // Rules may have come that are not small any more.
                     self.is_read_along_slow.set(true);
@@ -146,7 +146,7 @@
     /// How long this gateway waits before it reads a long list to its end.
     pub(super) fn turn_to_read_on(&self, now: Instant) -> Duration {
         let holds_list = self.delivering.upstreams.is_known();
-        self.upstreams_reading.plan.borrow().turn(self.own_rank(now), holds_list)
+        self.upstreams_reading.plan.borrow().full_list_delay(self.own_rank(now), holds_list)
     }
 
     /// Whether reads of the store failed last.
@@ -198,21 +198,21 @@
         } else {
             upstreams
         };
-        self.upstreams_reading.plan.borrow().wait(age, self.own_rank(now), Duration::ZERO, now)
+        self.upstreams_reading.plan.borrow().time_until_read(age, self.own_rank(now), Duration::ZERO, now)
     }
 
     /// How long until this gateway should read the rules by themselves.
     fn until_rules_due(&self) -> Duration {
         let now = bendhinge_clock::now();
         let age = self.delivering.rules.age(now);
-        self.rules_reading.plan.borrow().wait(age, self.own_rank(now), self.rules_cost(), now)
+        self.rules_reading.plan.borrow().time_until_read(age, self.own_rank(now), self.rules_cost(), now)
     }
 
     /// The ages of what is believed from which all would read: of the rules, and of the list.
     pub(super) fn lost_ages(&self) -> LostAges {
         LostAges {
-            rules: self.rules_reading.plan.borrow().last(self.rules_cost()),
-            upstreams: self.upstreams_reading.plan.borrow().last(Duration::ZERO),
+            rules: self.rules_reading.plan.borrow().max_read_age(self.rules_cost()),
+            upstreams: self.upstreams_reading.plan.borrow().max_read_age(Duration::ZERO),
         }
     }
 
@@ -298,7 +298,7 @@
             upstreams.confirm(Version { revision: at, ..held.version }, began);
             return;
         }
-        self.take_stored_list(list.updated(came, &gone, drained), at, began);
+        self.take_stored_list(list.with_store_changes(came, &gone, drained), at, began);
     }
 
     /// Takes the list that the store held at the revision `at`, by a read that began at `began`.
--- a/crates/bendhinge_gateway/src/knowledge/peers.rs
+++ b/crates/bendhinge_gateway/src/knowledge/peers.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use bendhinge_fleet::{
-    LearnedFrom, ListChanges, ListLoads, ListTold, LoadSaid, NewsTold, UpstreamEntry, UpstreamList, Verdict,
-    Version,
+    ListDelta, ListLoads, ListUpdate, UpdateBatch, UpdateSource, UpstreamEntry, UpstreamList, UpstreamLoad,
+    Verdict, Version,
 };
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_peer::{ObservedDoubt, ObservedLoad, ObservedRead, ReadsPage};
@@ -49,10 +49,10 @@
     /// What to tell others of loads, whatever list they hold.
     pub(crate) fn loads_to_tell(&self, now: Instant) -> Vec<ObservedLoad> {
         let state = self.state.lock().unwrap();
-        let told = state.loads.to_tell(now).into_iter().map(|said| ObservedLoad {
+        let told = state.loads.recent_reports(now).into_iter().map(|said| ObservedLoad {
             upstream: said.upstream,
             in_progress: u16::try_from(said.in_progress).unwrap_or(u16::MAX),
-            age: now.since(said.at),
+            age: now.since(said.reported_at),
         });
         told.collect()
     }
@@ -61,7 +61,7 @@
     pub(crate) fn list_loads_to_tell(&self, listener: SocketAddr, now: Instant) -> Option<ListLoads> {
         let state = self.state.lock().unwrap();
         let list = state.belief.value()?;
-        Some(state.loads.told_to(learned_from(listener), list, now))
+        Some(state.loads.pack_for(learned_from(listener), list, now))
     }
 
     /// Takes in what the gateway at `from` heard of loads, its ages counted from `as_of`.
@@ -70,8 +70,12 @@
         let mut state = self.state.lock().unwrap();
         for load in loads {
             let at = as_of - load.age;
-            let said = LoadSaid { upstream: load.upstream, in_progress: load.in_progress.into(), at };
-            state.loads.learn(said, from);
+            let said = UpstreamLoad {
+                upstream: load.upstream,
+                in_progress: load.in_progress.into(),
+                reported_at: at,
+            };
+            state.loads.record(said, from);
         }
     }
 
@@ -85,8 +89,10 @@
     ) {
         let mut state = self.state.lock().unwrap();
         let State { belief, loads, .. } = &mut *state;
-        let Some(held) = belief.held().filter(|held| held.version.digest == version.digest) else { return };
-        loads.hear(told, &held.value, learned_from(from), as_of);
+        let Some(held) = belief.current().filter(|held| held.version.digest == version.digest) else {
+            return;
+        };
+        loads.apply(told, &held.value, learned_from(from), as_of);
     }
 
     /// What to tell the gateway at `listener` of parts that upstreams read, which was told up to the number
@@ -96,7 +102,7 @@
         listener: SocketAddr,
         told: Option<u64>,
         now: Instant,
-    ) -> NewsTold<KeptPart> {
+    ) -> UpdateBatch<KeptPart> {
         self.state.lock().unwrap().news.since(told, learned_from(listener), now)
     }
 
@@ -130,10 +136,10 @@
     }
 
     /// The list that is held, as it is told to a peer that holds the one whose digest is `base`.
-    pub(crate) fn list_to_tell(&self, base: Option<u64>) -> Option<ListTold> {
+    pub(crate) fn list_to_tell(&self, base: Option<u64>) -> Option<ListUpdate> {
         let state = self.state.lock().unwrap();
         let list = state.belief.value()?;
-        Some(state.history.tell(list, base))
+        Some(state.history.update_for(list, base))
     }
 
     /// A list that was held lately, by its digest.
@@ -142,16 +148,16 @@
     }
 
     /// The list that is held with `changes` made, if it is the one whose digest is `base`.
-    pub(crate) fn list_with(&self, base: u64, changes: &ListChanges) -> Option<UpstreamList> {
+    pub(crate) fn list_with(&self, base: u64, changes: &ListDelta) -> Option<UpstreamList> {
         let state = self.state.lock().unwrap();
-        let held = state.belief.held().filter(|held| held.version.digest == base)?;
-        Some(held.value.with(changes))
+        let held = state.belief.current().filter(|held| held.version.digest == base)?;
+        Some(held.value.apply(changes))
     }
 }
 
 /// The gateway at `address` as one from whom something is learned.
-pub(crate) fn learned_from(address: SocketAddr) -> LearnedFrom {
-    LearnedFrom::Router(router_hash(address))
+pub(crate) fn learned_from(address: SocketAddr) -> UpdateSource {
+    UpdateSource::Router(router_hash(address))
 }
 
 pub(crate) fn router_hash(address: SocketAddr) -> NameHash {
--- a/crates/bendhinge_gateway/src/knowledge/rules.rs
+++ b/crates/bendhinge_gateway/src/knowledge/rules.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use bendhinge_fleet::{Belief, Offer, Version};
+use bendhinge_fleet::{Replica, UpdateOutcome, Version};
 use bendhinge_ids::Instant;
 use bendhinge_peer::Known;
 use bendhinge_routes::ServingRules;
@@ -24,7 +24,7 @@
 
 /// Keeps the rules in force.
 pub(crate) struct RulesKeeper {
-    belief: Mutex<Belief<RulesInForce>>,
+    belief: Mutex<Replica<RulesInForce>>,
     lease: Option<Duration>,
     /// Until when requests wait for the first rules.
     first_until: Instant,
@@ -72,8 +72,8 @@
     pub(crate) fn may_be_acted_on(&self) -> bool {
         let belief = self.belief.lock().unwrap();
         match self.lease {
-            Some(lease) => belief.is_within(lease, bendhinge_clock::now()),
-            None => belief.held().is_some(),
+            Some(lease) => belief.is_fresh(lease, bendhinge_clock::now()),
+            None => belief.current().is_some(),
         }
     }
 
@@ -84,19 +84,19 @@
 
     /// Which version is held, and how old the knowledge of it is.
     pub(crate) fn known(&self, now: Instant) -> Option<Known> {
-        self.belief.lock().unwrap().held().map(|held| Known::of(held, now))
+        self.belief.lock().unwrap().current().map(|held| Known::of(held, now))
     }
 
     pub(crate) fn lacks(&self, version: Version) -> bool {
-        self.belief.lock().unwrap().lacks(version)
+        self.belief.lock().unwrap().needs(version)
     }
 
-    pub(crate) fn confirm(&self, version: Version, as_of: Instant) -> Offer {
+    pub(crate) fn confirm(&self, version: Version, as_of: Instant) -> UpdateOutcome {
         self.belief.lock().unwrap().confirm(version, as_of)
     }
 
-    pub(crate) fn offer(&self, version: Version, as_of: Instant, rules: RulesInForce) -> Offer {
-        let offer = self.belief.lock().unwrap().offer(version, as_of, || Arc::new(rules));
+    pub(crate) fn offer(&self, version: Version, as_of: Instant, rules: RulesInForce) -> UpdateOutcome {
+        let offer = self.belief.lock().unwrap().update(version, as_of, || Arc::new(rules));
         self.first.close();
         offer
     }
--- a/crates/bendhinge_gateway/src/knowledge/upstreams.rs
+++ b/crates/bendhinge_gateway/src/knowledge/upstreams.rs
@@ -6,8 +6,9 @@
 
 use bendhinge_admission::Demand;
 use bendhinge_fleet::{
-    Belief, Directory, Evidence, Judge, LearnedFrom, ListHistory, Listed, LoadSaid, Loads, NewsLimits,
-    NewsLog, Offer, Rests, Standing, UpstreamEntry, UpstreamFailure, UpstreamList, Version,
+    Directory, Evidence, Judge, ListHistory, Listed, Loads, Replica, Rests, Standing, UpdateLog,
+    UpdateLogLimits, UpdateOutcome, UpdateSource, UpstreamEntry, UpstreamFailure, UpstreamList, UpstreamLoad,
+    Version,
 };
 use bendhinge_ids::{Instant, NameHash, PoolName};
 use bendhinge_peer::Known;
@@ -26,11 +27,11 @@
 /// How much is told of what upstreams read. An entry takes 24 bytes before compression, so a message holds
 /// 24 KB of them at most: at an exchange each 0.4 s, half a megabit a second. What is learned while a fleet starts
 /// comes faster, and is kept until it is told.
-const READS_TOLD: NewsLimits = NewsLimits {
-    most_kept: 8_192,
-    most_told: 1_000,
-    told_for: Duration::from_secs(5),
-    told_first_for: Duration::from_millis(1_300),
+const READS_TOLD: UpdateLogLimits = UpdateLogLimits {
+    max_entries: 8_192,
+    max_batch_entries: 1_000,
+    max_age: Duration::from_secs(5),
+    max_age_for_new_peer: Duration::from_millis(1_300),
 };
 /// What an upstream on trial is expected to fail.
 const SHARE_FAILING_ON_TRIAL: f32 = 0.5;
@@ -70,7 +71,7 @@
 }
 
 pub(super) struct State {
-    pub(super) belief: Belief<UpstreamList>,
+    pub(super) belief: Replica<UpstreamList>,
     /// What there is to begin with before a list is there.
     part: Option<Arc<UpstreamList>>,
     pub(super) directory: Directory,
@@ -81,7 +82,7 @@
     pub(super) loads: Loads,
     pub(super) kept: KeptParts,
     /// What was learned lately of what upstreams keep.
-    pub(super) news: NewsLog<KeptPart>,
+    pub(super) news: UpdateLog<KeptPart>,
     /// The lists that were held lately.
     pub(super) history: ListHistory,
     /// Sends to each pool.
@@ -107,7 +108,7 @@
 impl Drop for Place {
     fn drop(&mut self) {
         let lasted = bendhinge_clock::now().since(self.since);
-        self.view.state.lock().unwrap().loads.ended(self.upstream, lasted);
+        self.view.state.lock().unwrap().loads.end_request(self.upstream, lasted);
     }
 }
 
@@ -115,7 +116,7 @@
     /// No upstreams yet; `own` is where peers reach this gateway.
     pub(crate) fn new(own: SocketAddr, regions: RegionMap, settings: &UpstreamSettings) -> Self {
         let state = State {
-            belief: Belief::default(),
+            belief: Replica::default(),
             part: None,
             directory: Directory::new(settings.directory),
             judge: Judge::new(settings.judge),
@@ -123,7 +124,7 @@
             evidence: Evidence::new(router_hash(own)),
             loads: Loads::default(),
             kept: KeptParts::new(KEPT_FOR),
-            news: NewsLog::new(READS_TOLD),
+            news: UpdateLog::new(READS_TOLD),
             history: ListHistory::default(),
             demand: FxHashMap::default(),
             gateways: None,
@@ -134,19 +135,19 @@
 
     /// Whether there is a list at all.
     pub(crate) fn is_known(&self) -> bool {
-        self.state.lock().unwrap().belief.held().is_some()
+        self.state.lock().unwrap().belief.current().is_some()
     }
 
     /// Whether there is a list, or a part of one to begin with.
     pub(crate) fn is_begun(&self) -> bool {
         let state = self.state.lock().unwrap();
-        state.belief.held().is_some() || state.part.is_some()
+        state.belief.current().is_some() || state.part.is_some()
     }
 
     /// Begins with a part of the list, until all of it is there.
     pub(crate) fn begin_with(&self, part: Arc<UpstreamList>) {
         let mut state = self.state.lock().unwrap();
-        if state.belief.held().is_none() && !part.entries.is_empty() {
+        if state.belief.current().is_none() && !part.entries.is_empty() {
             state.directory.take(&part, bendhinge_clock::now());
             state.part = Some(part);
         }
@@ -162,7 +163,7 @@
     }
 
     pub(crate) fn known(&self, now: Instant) -> Option<Known> {
-        self.state.lock().unwrap().belief.held().map(|held| Known::of(held, now))
+        self.state.lock().unwrap().belief.current().map(|held| Known::of(held, now))
     }
 
     pub(crate) fn list(&self) -> Option<Arc<UpstreamList>> {
@@ -170,35 +171,35 @@
     }
 
     pub(crate) fn lacks(&self, version: Version) -> bool {
-        self.state.lock().unwrap().belief.lacks(version)
+        self.state.lock().unwrap().belief.needs(version)
     }
 
-    pub(crate) fn confirm(&self, version: Version, as_of: Instant) -> Offer {
+    pub(crate) fn confirm(&self, version: Version, as_of: Instant) -> UpdateOutcome {
         let mut state = self.state.lock().unwrap();
         let offer = state.belief.confirm(version, as_of);
-        if offer == Offer::Confirmed {
+        if offer == UpdateOutcome::Confirmed {
             state.directory.evidence(as_of);
         }
         offer
     }
 
-    pub(crate) fn offer(&self, version: Version, as_of: Instant, list: UpstreamList) -> Offer {
+    pub(crate) fn offer(&self, version: Version, as_of: Instant, list: UpstreamList) -> UpdateOutcome {
         let mut state = self.state.lock().unwrap();
         let State { belief, history, .. } = &mut *state;
         let held = belief.value().cloned();
-        let offer = belief.offer(version, as_of, || {
+        let offer = belief.update(version, as_of, || {
             Arc::new(match &held {
-                Some(held) => list.sharing(held),
+                Some(held) => list.share_entries_with(held),
                 None => list,
             })
         });
-        if let (Offer::New, Some(held)) = (offer, belief.held()) {
-            history.remember(held.version.digest, &held.value);
+        if let (UpdateOutcome::Updated, Some(held)) = (offer, belief.current()) {
+            history.push(held.version.digest, &held.value);
         }
-        if offer != Offer::Old {
+        if offer != UpdateOutcome::Stale {
             state.directory.evidence(as_of);
         }
-        if offer == Offer::New {
+        if offer == UpdateOutcome::Updated {
             state.part = None;
             state.follow_list();
         }
@@ -221,11 +222,11 @@
         let entry = Arc::clone(&listed[choice.chosen].entry);
         let fetch_from = choice.fetch_from.map(|source| listed[source].entry.address);
         let upstream = entry.hash;
-        state.loads.began(upstream);
+        state.loads.start_request(upstream);
         state.judge.sent(upstream, now);
         if let Some(prompt) = asked.prompt {
             for read in state.kept.read(upstream, prompt, now) {
-                state.news.push(read, LearnedFrom::Itself, now);
+                state.news.push(read, UpdateSource::Local, now);
             }
         }
         drop(state);
@@ -317,8 +318,8 @@
     /// Notes what an upstream said of its load.
     pub(crate) fn load_said(&self, upstream: NameHash, load: dialect::LoadSaid) {
         let in_progress = load.running.saturating_add(load.waiting);
-        let said = LoadSaid { upstream, in_progress, at: bendhinge_clock::now() };
-        self.state.lock().unwrap().loads.learn(said, LearnedFrom::Itself);
+        let said = UpstreamLoad { upstream, in_progress, reported_at: bendhinge_clock::now() };
+        self.state.lock().unwrap().loads.record(said, UpdateSource::Local);
     }
 
     /// The upstreams that may be asked something, of pools for which `keeps_prompts` holds.
@@ -358,7 +359,7 @@
         }
         let State { directory, evidence, kept, news, rests, .. } = &mut *state;
         rests.prune(now);
-        news.forget(now);
+        news.evict_expired(now);
         evidence.prune(|upstream| directory.lists(upstream), now);
         kept.prune(|upstream| directory.lists(upstream), now);
     }
@@ -375,7 +376,7 @@
     fn forget_gone(&mut self) {
         let Self { directory, judge, loads, .. } = self;
         judge.keep_only(|upstream| directory.lists(upstream));
-        loads.keep_only(|upstream| directory.lists(upstream));
+        loads.retain_listed(|upstream| directory.lists(upstream));
     }
 
     /// Whether requests may be sent to an upstream. The one place that knows of the rests that upstreams ask for:
--- a/crates/bendhinge_gateway/src/metrics.rs
+++ b/crates/bendhinge_gateway/src/metrics.rs
@@ -221,7 +221,7 @@
     pub(crate) fn told(&self, message: &PeerMessage) {
         let list_loads = match &message.list_loads {
             Some(ListLoads::Highest(loads)) => ("high_loads", loads.count()),
-            Some(ListLoads::Each(states)) => ("load_states", states.0.len() / 2),
+            Some(ListLoads::All(states)) => ("load_states", states.0.len() / 2),
             None => ("load_states", 0),
         };
         let entries = [
--- a/crates/bendhinge_gateway/src/settings/mod.rs
+++ b/crates/bendhinge_gateway/src/settings/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bendhinge_admission::FleetRetryBudget;
-use bendhinge_fleet::{DirectoryLimits, JudgeLimits, ReadingLimits, RosterLimits};
+use bendhinge_fleet::{DirectoryLimits, JudgeLimits, RosterTimeouts, StoreReadTimings};
 use bendhinge_ids::{BoxName, DataCentreName, RegionName, RequestDigest};
 use bendhinge_ini::{Document, Faults, Section, read_file};
 use bendhinge_peer::PeerKey;
@@ -85,7 +85,7 @@
     /// Time for an answer.
     pub call: Duration,
     /// When it is read.
-    pub reading: ReadingLimits,
+    pub reading: StoreReadTimings,
 }
 
 /// The other gateways.
@@ -100,7 +100,7 @@
     /// Time for another gateway to answer.
     pub call: Duration,
     /// When a silent one is dead, and when it is forgotten.
-    pub roster: RosterLimits,
+    pub roster: RosterTimeouts,
 }
 
 /// How long what is believed may be acted on.
@@ -157,12 +157,12 @@
 impl Settings {
     /// When the list of upstreams is read. All read it so early that each still spares an upstream in
     /// time that began to leave right after the last read.
-    pub(crate) fn list_reading(&self) -> ReadingLimits {
+    pub(crate) fn list_reading(&self) -> StoreReadTimings {
         /// For the read, which is given up after longer only if the store is silent, and for a request's way.
         const MARGIN: Duration = Duration::from_millis(800);
         let reading = self.store.reading;
-        let last = self.upstreams.leaving.saturating_sub(MARGIN).max(reading.first);
-        ReadingLimits { last: reading.last.min(last), ..reading }
+        let last = self.upstreams.leaving.saturating_sub(MARGIN).max(reading.first_rank_age);
+        StoreReadTimings { max_age: reading.max_age.min(last), ..reading }
     }
 }
 
@@ -238,12 +238,12 @@
         Some(StoreSettings {
             address: address?,
             call: call?,
-            reading: ReadingLimits {
-                first: first?,
-                step: step?,
-                last: last?,
-                retry: retry?,
-                urgent_retry: urgent_retry?,
+            reading: StoreReadTimings {
+                first_rank_age: first?,
+                rank_step: step?,
+                max_age: last?,
+                retry_delay: retry?,
+                urgent_retry_delay: urgent_retry?,
             },
         })
     }
@@ -260,7 +260,7 @@
             seeds: seeds?.0,
             exchange: exchange?,
             call: call?,
-            roster: RosterLimits { dead_after: dead_after?, forgotten_after: forgotten_after? },
+            roster: RosterTimeouts { dead_after: dead_after?, expire_after: forgotten_after? },
         })
     }
 
--- a/crates/bendhinge_lab/src/bench/crashing.rs
+++ b/crates/bendhinge_lab/src/bench/crashing.rs
@@ -10,7 +10,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use bendhinge_fleet::{Crash, LearnedFrom, MOST_CRASHES, Permission, Quarantine, Suspicion};
+use bendhinge_fleet::{Crash, MOST_CRASHES, Permission, Quarantine, Suspicion, UpdateSource};
 use bendhinge_ids::{Instant, NameHash, RequestDigest};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -225,7 +225,7 @@
             Event::Comes { request, again } => self.comes(request, again),
             Event::Ends { upstream, run } => self.ends(upstream, run),
             Event::Hears { router, from, request, suspicion } => {
-                let from = LearnedFrom::Router(own_name(from));
+                let from = UpdateSource::Router(own_name(from));
                 self.routers[router].hear(request, &suspicion, from, self.now);
             }
             Event::Wave => {
--- a/crates/bendhinge_lab/src/bench/resting.rs
+++ b/crates/bendhinge_lab/src/bench/resting.rs
@@ -10,7 +10,9 @@
 use std::time::Duration;
 
 use bendhinge_admission::{FleetRetryBudget, RetryShare};
-use bendhinge_fleet::{Judge, JudgeLimits, LearnedFrom, LoadSaid, Loads, Rests, Standing, UpstreamFailure};
+use bendhinge_fleet::{
+    Judge, JudgeLimits, Loads, Rests, Standing, UpdateSource, UpstreamFailure, UpstreamLoad,
+};
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_placement::{Candidate, CostRules, KeptParts, PartId, Prompt, PromptPart, Question, choose};
 use rand::{Rng, SeedableRng};
@@ -298,7 +300,7 @@
         let (now, upstream) = (self.now, choice.chosen);
         let chosen = hash(upstream);
         let sender = &mut self.routers[router];
-        sender.loads.began(chosen);
+        sender.loads.start_request(chosen);
         sender.judge.sent(chosen, now);
         sender.kept.read(chosen, &prompt, now);
         let hop = self.draw(HOP_MICROS);
@@ -341,7 +343,7 @@
         let Send { router, upstream, subject, tried, sent } = send;
         let chosen = hash(upstream);
         let asker = &mut self.routers[router];
-        asker.loads.ended(chosen, now.since(sent));
+        asker.loads.end_request(chosen, now.since(sent));
         if self.way != Way::Unread {
             asker.rests.asked(chosen, REST, now);
         }
@@ -368,11 +370,11 @@
     fn answered(&mut self, send: &Send, began: Instant, in_progress: u32) {
         let (now, upstream) = (self.now, hash(send.upstream));
         let sender = &mut self.routers[send.router];
-        sender.loads.ended(upstream, now.since(began));
+        sender.loads.end_request(upstream, now.since(began));
         sender.judge.answered(upstream, now);
-        let said = LoadSaid { upstream, in_progress, at: now };
+        let said = UpstreamLoad { upstream, in_progress, reported_at: now };
         // What upstreams say of their loads reaches all with the exchanges: here, those that hear of an answer.
-        sender.loads.learn(said, LearnedFrom::Itself);
+        sender.loads.record(said, UpdateSource::Local);
         self.seen.answered += 1;
     }
 }
--- a/crates/bendhinge_lab/tests/gateway_common/mod.rs
+++ b/crates/bendhinge_lab/tests/gateway_common/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use bendhinge_fleet::Heard;
+use bendhinge_fleet::MemberReport;
 use bendhinge_http::{Tasks, run_until};
 use bendhinge_lab::gateways::{Answer, Call, FleetShape, GatewayFleet, KEY};
 use bendhinge_peer::PeerMessage;
@@ -64,8 +64,13 @@
 
 /// A whole message of the gateway at `address` that says nothing.
 pub fn message_from(address: SocketAddr) -> PeerMessage {
-    let sender =
-        Heard { address, age: Duration::ZERO, is_leaving: false, is_store_failing: false, link_mbps: 1_000 };
+    let sender = MemberReport {
+        address,
+        age: Duration::ZERO,
+        is_leaving: false,
+        is_store_failing: false,
+        link_mbps: 1_000,
+    };
     PeerMessage::from_sender(sender)
 }
 
--- a/crates/bendhinge_lab/tests/gateway_exchange.rs
+++ b/crates/bendhinge_lab/tests/gateway_exchange.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_fleet::{ListLoads, ListTold, LoadStates, NewsLife, NewsPosition};
+use bendhinge_fleet::{ListLoads, ListUpdate, LogPosition, PackedLoads, RouterIncarnation};
 use bendhinge_ids::NameHash;
 use bendhinge_lab::gateways::{FleetShape, GatewayFleet, PEER_KEY, Told, until};
 use bendhinge_peer::{
@@ -124,7 +124,7 @@
         assert_eq!((&in_full.member_states, &in_full.list_loads), (&None, &None));
         assert!(in_states.members.is_empty() && in_states.loads.is_empty());
         assert_eq!(in_states.member_states.unwrap().0.len(), 2, "itself and its peer");
-        let Some(ListLoads::Each(LoadStates(loads))) = in_states.list_loads else {
+        let Some(ListLoads::All(PackedLoads(loads))) = in_states.list_loads else {
             panic!("no states of loads: {:?}", in_states.list_loads);
         };
         assert_eq!(loads.len(), 2 * 3, "of three upstreams");
@@ -150,11 +150,11 @@
             (known, whole, since, since_unknown)
         };
         let (known, whole, since, since_unknown) = executor.run(asking).await;
-        let ListTold::Whole(list) = &whole else { panic!("{whole:?}") };
+        let ListUpdate::Full(list) = &whole else { panic!("{whole:?}") };
         assert_eq!((list.entries.len(), list.digest()), (2, known.version.digest));
-        let ListTold::Changes { base, changes } = since else { panic!("{since:?}") };
+        let ListUpdate::Delta { base, delta: changes } = since else { panic!("{since:?}") };
         assert_eq!(base, known.version.digest);
-        assert!(changes.gone.is_empty() && changes.came.is_empty());
+        assert!(changes.removed.is_empty() && changes.upserted.is_empty());
         assert_eq!(since_unknown, whole);
     });
 }
@@ -178,7 +178,9 @@
             let first = peer.exchange(&message()).await.unwrap();
             let heard = PeerMessage { heard: first.told, ..message() };
             let second = peer.exchange(&heard).await.unwrap();
-            let other_life = first.told.map(|told| NewsPosition { life: NewsLife(told.life.0 ^ 1), ..told });
+            let other_life = first
+                .told
+                .map(|told| LogPosition { incarnation: RouterIncarnation(told.incarnation.0 ^ 1), ..told });
             let third = peer.exchange(&PeerMessage { heard: other_life, ..message() }).await.unwrap();
             [first, second, third].map(|answer| answer.reads.iter().map(|read| read.part).collect::<Vec<_>>())
         };
--- a/crates/bendhinge_lab/tests/gateway_large_rules.rs
+++ b/crates/bendhinge_lab/tests/gateway_large_rules.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_fleet::{ListTold, Revision, UpstreamList, Version};
+use bendhinge_fleet::{ListUpdate, Revision, UpstreamList, Version};
 use bendhinge_lab::gateways::{FleetShape, GatewayFleet, Harm, PEER_KEY, Proxy, RULES, until};
 use bendhinge_peer::{
     FleetClient, FleetDuties, Known, ObservedRead, PeerConnection, PeerKey, PeerMessage, ReadsPage, Traffic,
@@ -99,8 +99,8 @@
         None
     }
 
-    fn upstreams(&self, _: Option<u64>) -> Option<(Known, ListTold)> {
-        Some((Self::known(), ListTold::Whole(UpstreamList::default())))
+    fn upstreams(&self, _: Option<u64>) -> Option<(Known, ListUpdate)> {
+        Some((Self::known(), ListUpdate::Full(UpstreamList::default())))
     }
 
     fn reads(&self, _: ReadsPage) -> Option<Vec<ObservedRead>> {
--- a/crates/bendhinge_peer/src/fleet/client.rs
+++ b/crates/bendhinge_peer/src/fleet/client.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_fleet::{ListTold, UpstreamEntry, UpstreamList};
+use bendhinge_fleet::{ListUpdate, UpstreamEntry, UpstreamList};
 use bytes::{Bytes, BytesMut};
 use smol::LocalExecutor;
 
@@ -53,7 +53,7 @@
 /// A list of which the first piece is there.
 struct ListBegun {
     known: Known,
-    told: ListTold,
+    told: ListUpdate,
     /// Entries of the whole list; 0 if it is whole.
     length: usize,
 }
@@ -117,11 +117,11 @@
 
     /// Fetches the list of upstreams that the peer holds, as changes if it remembers the one whose digest
     /// is `base`. A long list comes in pieces, each of which has the time of a call.
-    pub async fn upstreams(&self, base: Option<u64>) -> Result<Option<(Known, ListTold)>, CallError> {
+    pub async fn upstreams(&self, base: Option<u64>) -> Result<Option<(Known, ListUpdate)>, CallError> {
         let Some(ListBegun { known, mut told, length }) = self.begin_list(base).await? else {
             return Ok(None);
         };
-        if let ListTold::Whole(list) = &mut told {
+        if let ListUpdate::Full(list) = &mut told {
             while list.entries.len() < length {
                 let piece = self.list_piece(known.version.digest, list.entries.len()).await?;
                 if piece.is_empty() {
--- a/crates/bendhinge_peer/src/fleet/convert.rs
+++ b/crates/bendhinge_peer/src/fleet/convert.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{
-    Heard, HighLoads, ListChanges, ListLoads, ListTold, LoadStates, MemberStates, NewsLife, NewsPosition,
-    Revision, RosterDigest, UpstreamEntry, UpstreamList, UpstreamState, Version, WarmUp,
+    ListDelta, ListLoads, ListUpdate, LogPosition, MemberReport, MemberStates, PackedHighLoads, PackedLoads,
+    Revision, RosterDigest, RouterIncarnation, UpstreamEntry, UpstreamList, UpstreamState, Version, WarmUp,
 };
 use bendhinge_ids::{DataCentreName, NameHash};
 use bendhinge_placement::PartId;
@@ -50,7 +50,7 @@
     from.get_held().then_some(Known { version, age })
 }
 
-fn write_member(mut to: member::Builder<'_>, heard: &Heard) {
+fn write_member(mut to: member::Builder<'_>, heard: &MemberReport) {
     let Some((bits, port)) = address_parts(heard.address) else { return };
     to.set_address(bits);
     to.set_port(port);
@@ -60,8 +60,8 @@
     to.set_link_mbps(heard.link_mbps);
 }
 
-fn read_member(from: member::Reader<'_>) -> Heard {
-    Heard {
+fn read_member(from: member::Reader<'_>) -> MemberReport {
+    MemberReport {
         address: address(from.get_address(), from.get_port()),
         age: Duration::from_millis(from.get_age_millis().into()),
         is_leaving: from.get_leaving(),
@@ -98,14 +98,15 @@
     }
 }
 
-fn write_position(mut to: news_position::Builder<'_>, position: NewsPosition) {
-    to.set_life(position.life.0);
-    to.set_number(position.number);
+fn write_position(mut to: news_position::Builder<'_>, position: LogPosition) {
+    to.set_life(position.incarnation.0);
+    to.set_number(position.sequence);
 }
 
-fn read_position(from: news_position::Reader<'_>) -> Option<NewsPosition> {
-    let position = NewsPosition { life: NewsLife(from.get_life()), number: from.get_number() };
-    (position.life.0 != 0).then_some(position)
+fn read_position(from: news_position::Reader<'_>) -> Option<LogPosition> {
+    let position =
+        LogPosition { incarnation: RouterIncarnation(from.get_life()), sequence: from.get_number() };
+    (position.incarnation.0 != 0).then_some(position)
 }
 
 pub(super) fn write_message(mut to: peer_message::Builder<'_>, message: &PeerMessage) {
@@ -122,8 +123,8 @@
     }
     to.set_begun(message.is_begun);
     match &message.list_loads {
-        Some(ListLoads::Each(LoadStates(states))) => to.set_load_states(states),
-        Some(ListLoads::Highest(HighLoads(loads))) => to.set_high_loads(loads),
+        Some(ListLoads::All(PackedLoads(states))) => to.set_load_states(states),
+        Some(ListLoads::Highest(PackedHighLoads(loads))) => to.set_high_loads(loads),
         None => {}
     }
     if let Some(told) = message.told {
@@ -148,9 +149,9 @@
 /// Writes the lists of a message; one without entries takes no room.
 fn read_list_loads(states: &[u8], highest: &[u8]) -> Option<ListLoads> {
     if !states.is_empty() {
-        return Some(ListLoads::Each(LoadStates(states.to_vec())));
+        return Some(ListLoads::All(PackedLoads(states.to_vec())));
     }
-    (!highest.is_empty()).then(|| ListLoads::Highest(HighLoads(highest.to_vec())))
+    (!highest.is_empty()).then(|| ListLoads::Highest(PackedHighLoads(highest.to_vec())))
 }
 
 fn write_lists(mut to: peer_message::Builder<'_>, message: &PeerMessage) {
@@ -273,16 +274,16 @@
 
 type Entries = Vec<Arc<UpstreamEntry>>;
 
-pub(super) fn write_list(mut to: fleet::upstreams_results::Builder<'_>, told: &ListTold) {
+pub(super) fn write_list(mut to: fleet::upstreams_results::Builder<'_>, told: &ListUpdate) {
     let (entries, drained) = match told {
-        ListTold::Whole(list) => (&list.entries, &list.drained),
-        ListTold::Changes { base, changes } => {
+        ListUpdate::Full(list) => (&list.entries, &list.drained),
+        ListUpdate::Delta { base, delta: changes } => {
             to.set_base(*base);
-            let mut gone = to.reborrow().init_gone(count(changes.gone.len()));
-            for (index, hash) in (0..).zip(&changes.gone) {
+            let mut gone = to.reborrow().init_gone(count(changes.removed.len()));
+            for (index, hash) in (0..).zip(&changes.removed) {
                 gone.set(index, hash.0);
             }
-            (&changes.came, &changes.drained)
+            (&changes.upserted, &changes.drained)
         }
     };
     write_drained(to.reborrow().init_drained(count(drained.len())), drained);
@@ -303,13 +304,13 @@
     write_all(to, entries, |to, entry| write_upstream(to, entry));
 }
 
-pub(super) fn read_list(from: fleet::upstreams_results::Reader<'_>) -> Result<ListTold, Error> {
+pub(super) fn read_list(from: fleet::upstreams_results::Reader<'_>) -> Result<ListUpdate, Error> {
     let entries = read_upstreams(from.get_list()?)?;
     let drained = read_drained(from.get_drained()?)?;
     let base = from.get_base();
     if base == 0 {
-        return Ok(ListTold::Whole(UpstreamList { entries, drained }));
+        return Ok(ListUpdate::Full(UpstreamList { entries, drained }));
     }
     let gone = from.get_gone()?.iter().map(NameHash).collect();
-    Ok(ListTold::Changes { base, changes: ListChanges { gone, came: entries, drained } })
+    Ok(ListUpdate::Delta { base, delta: ListDelta { removed: gone, upserted: entries, drained } })
 }
--- a/crates/bendhinge_peer/src/fleet/mod.rs
+++ b/crates/bendhinge_peer/src/fleet/mod.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{
-    Doubt, Heard, Held, ListLoads, ListTold, MemberStates, NewsPosition, RosterDigest, UpstreamList, Version,
-    Witness,
+    Doubt, ListLoads, ListUpdate, LogPosition, MemberReport, MemberStates, RosterDigest, UpstreamList,
+    Version, VersionedValue, Witness,
 };
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_placement::PartId;
@@ -34,7 +34,7 @@
 impl Known {
     /// What is known at `now` of a value that is held.
     #[must_use]
-    pub fn of<T>(held: &Held<T>, now: Instant) -> Self {
+    pub fn of<T>(held: &VersionedValue<T>, now: Instant) -> Self {
         Self { version: held.version, age: now.since(held.as_of) }
     }
 }
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerMessage {
     /// The sender itself.
-    pub sender: Heard,
+    pub sender: MemberReport,
     /// Whether it says only what the sender holds, and asks for no more: there is news.
     pub is_brief: bool,
     /// Whether it asks for members alone.
@@ -126,7 +126,7 @@
     /// Which members it knows.
     pub roster: RosterDigest,
     /// The members that it knows, if the receiver may know others.
-    pub members: Vec<Heard>,
+    pub members: Vec<MemberReport>,
     /// Their states, if the receiver knows the same ones.
     pub member_states: Option<MemberStates>,
     /// What it heard from upstreams of their loads, if the receiver may hold another list of them.
@@ -136,9 +136,9 @@
     /// What upstreams read, as the sender learned lately.
     pub reads: Vec<ObservedRead>,
     /// Up to where this message tells of the sender's reads.
-    pub told: Option<NewsPosition>,
+    pub told: Option<LogPosition>,
     /// Up to where the sender was told of the receiver's.
-    pub heard: Option<NewsPosition>,
+    pub heard: Option<LogPosition>,
     /// What it knows of upstreams that failed lately.
     pub doubts: Vec<ObservedDoubt>,
     /// Requests under which upstreams crash: what changed lately, or all that matters if the receiver knows
@@ -151,7 +151,7 @@
 impl PeerMessage {
     /// A message that says nothing but who sends it.
     #[must_use]
-    pub const fn from_sender(sender: Heard) -> Self {
+    pub const fn from_sender(sender: MemberReport) -> Self {
         Self {
             sender,
             is_brief: false,
@@ -200,7 +200,7 @@
     /// The document of the serving rules that are held.
     fn rules(&self) -> Option<(Known, Bytes)>;
     /// The list of upstreams that is held, for a peer that holds the one whose digest is `base`.
-    fn upstreams(&self, base: Option<u64>) -> Option<(Known, ListTold)>;
+    fn upstreams(&self, base: Option<u64>) -> Option<(Known, ListUpdate)>;
     /// A list of upstreams that was held lately, by its digest.
     fn list(&self, digest: u64) -> Option<Arc<UpstreamList>>;
     /// The part of a list with which this gateway has begun, if it holds no whole one.
--- a/crates/bendhinge_peer/src/fleet/server.rs
+++ b/crates/bendhinge_peer/src/fleet/server.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use bendhinge_fleet::ListTold;
+use bendhinge_fleet::ListUpdate;
 use bytes::Bytes;
 use capnp::Error;
 use smol::LocalExecutor;
@@ -98,7 +98,7 @@
         let in_pieces = params.get()?.get_in_pieces();
         let Some((known, mut told)) = self.0.upstreams((base != 0).then_some(base)) else { return Ok(()) };
         write_known(results.get().init_known(), Some(&known));
-        if let ListTold::Whole(list) = &mut told
+        if let ListUpdate::Full(list) = &mut told
             && in_pieces
             && list.entries.len() > PIECE_ENTRIES
         {
--- a/crates/bendhinge_peer/tests/connections.rs
+++ b/crates/bendhinge_peer/tests/connections.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_fleet::{ListTold, UpstreamList};
+use bendhinge_fleet::{ListUpdate, UpstreamList};
 use bendhinge_peer::{
     FleetClient, FleetDuties, Known, ObservedRead, PeerConnection, PeerKey, PeerMessage, ReadsPage, Traffic,
     serve_fleet,
@@ -35,7 +35,7 @@
         None
     }
 
-    fn upstreams(&self, _: Option<u64>) -> Option<(Known, ListTold)> {
+    fn upstreams(&self, _: Option<u64>) -> Option<(Known, ListUpdate)> {
         None
     }
 
--- a/crates/bendhinge_peer/tests/list_pieces.rs
+++ b/crates/bendhinge_peer/tests/list_pieces.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_fleet::{ListTold, Revision, UpstreamEntry, UpstreamList, UpstreamState, Version};
+use bendhinge_fleet::{ListUpdate, Revision, UpstreamEntry, UpstreamList, UpstreamState, Version};
 use bendhinge_ids::NameHash;
 use bendhinge_peer::{
     FleetClient, FleetDuties, Known, ObservedRead, PeerConnection, PeerKey, PeerMessage, ReadsPage, Traffic,
@@ -42,10 +42,10 @@
         None
     }
 
-    fn upstreams(&self, _: Option<u64>) -> Option<(Known, ListTold)> {
+    fn upstreams(&self, _: Option<u64>) -> Option<(Known, ListUpdate)> {
         let version = Version { revision: Revision(1), digest: DIGEST };
         let known = Known { version, age: Duration::ZERO };
-        Some((known, ListTold::Whole(UpstreamList::clone(&self.list))))
+        Some((known, ListUpdate::Full(UpstreamList::clone(&self.list))))
     }
 
     fn reads(&self, _: ReadsPage) -> Option<Vec<ObservedRead>> {
@@ -74,7 +74,7 @@
 }
 
 /// What is fetched from a gateway that holds a list of `length` entries.
-fn fetched(length: usize, remembers: bool) -> Option<ListTold> {
+fn fetched(length: usize, remembers: bool) -> Option<ListUpdate> {
     let executor = Rc::new(LocalExecutor::new());
     let running = Rc::clone(&executor);
     smol::block_on(executor.run(async move {
@@ -94,12 +94,12 @@
 #[test]
 fn a_list_of_any_length_arrives_whole() {
     for length in [0, 3, 256, 257, LONG] {
-        assert_eq!(fetched(length, true), Some(ListTold::Whole(list(length))), "{length} entries");
+        assert_eq!(fetched(length, true), Some(ListUpdate::Full(list(length))), "{length} entries");
     }
 }
 
 #[test]
 fn a_list_whose_rest_is_forgotten_is_not_taken_for_whole() {
-    assert_eq!(fetched(3, false), Some(ListTold::Whole(list(3))));
+    assert_eq!(fetched(3, false), Some(ListUpdate::Full(list(3))));
     assert_eq!(fetched(LONG, false), None);
 }
