--- a/crates/bendhinge_fleet/src/cache_recovery.rs
+++ b/crates/bendhinge_fleet/src/cache_recovery.rs
@@ -1,54 +1,52 @@
-//! When a router that has just started asks the upstreams themselves what they keep.
+//! Decides when a router that has just started queries the upstreams for their cached prompts.
 //!
-//! One router that asks is enough: the others learn from it. But after a loss of many boxes at
-//! once all start together, and a router that has not heard of the others yet takes itself for the
-//! first. It waits for a moment after its own start, in which it hears of some, and then for its
-//! turn. That a few ask in place of one costs little; each tenth of a second in which nobody knows
-//! anything costs as much as hundreds of questions, in prompts read again.
+//! One router that queries them is enough, since the others receive the result from it. After a loss of
+//! many boxes, however, all routers start at the same time and do not know each other yet. Each
+//! therefore waits for a short discovery period and then for the delay of its rank.
 
 use std::time::Duration;
 
 use bendhinge_ids::Instant;
 
-/// The times that relearning depends on.
+/// Timings of cache recovery.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheRecoveryTimings {
-    /// How long after its start the first in rank asks at the earliest.
+    /// Delay of the first rank after its start.
     pub initial_delay: Duration,
-    /// How much later for each upstream that there is: the more there are to be asked, the surer
-    /// it should be of being the first, and so the more of the others it should have heard of.
+    /// Additional delay for each upstream. The more upstreams are queried, the more members a router
+    /// should have discovered before it takes the first rank.
     pub per_upstream_delay: Duration,
-    /// How much later a router that knows nobody: it more likely has not found the others yet.
+    /// Additional delay for a router that has not discovered any other one.
     pub isolated_delay: Duration,
-    /// How much later than the one before it each further router in rank asks.
+    /// Additional delay for each further rank.
     pub rank_step: Duration,
-    /// When nobody needs to ask any more: requests have taught enough.
+    /// Time after which recovery is abandoned, since regular requests have supplied enough information.
     pub timeout: Duration,
 }
 
-/// What a router without knowledge does now, beside asking the other routers.
+/// Next action of a router that recovers, besides asking its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheRecoveryStep {
-    /// It waits.
+    /// Keep waiting.
     Wait,
-    /// It asks the upstreams.
+    /// Query the upstreams.
     QueryUpstreams,
-    /// It goes on without.
+    /// Continue without recovery.
     GiveUp,
 }
 
-/// What a router that has just started sees of the fleet.
+/// The fleet as seen by a router that has just started.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView {
-    /// Live routers that it knows, itself among them.
+    /// Number of known live routers, including this one.
     pub live_routers: usize,
-    /// Its own place among them; 0 is the first.
+    /// Rank of this router among them, starting at 0.
     pub rank: usize,
-    /// Upstreams that there are.
+    /// Number of upstreams.
     pub upstream_count: usize,
 }
 
-/// One router's waiting for its turn.
+/// Recovery state of one router.
 #[derive(Debug)]
 pub struct CacheRecovery {
     timings: CacheRecoveryTimings,
@@ -56,13 +54,13 @@
 }
 
 impl CacheRecovery {
-    /// A router that started at `now`.
+    /// Creates the state of a router that starts at `now`.
     #[must_use]
     pub const fn new(timings: CacheRecoveryTimings, now: Instant) -> Self {
         Self { timings, started_at: now }
     }
 
-    /// What to do at `now`.
+    /// Returns the action to take at `now`.
     #[must_use]
     pub fn next_step(&self, view: FleetView, now: Instant) -> CacheRecoveryStep {
         let elapsed = now.since(self.started_at);
@@ -76,7 +74,7 @@
         }
     }
 
-    /// How long after its start it is the router's turn.
+    /// Returns the delay between the router's start and its query of the upstreams.
     fn query_delay(&self, view: FleetView) -> Duration {
         let multiply =
             |unit: Duration, count: usize| unit.saturating_mul(u32::try_from(count).unwrap_or(u32::MAX));
--- a/crates/bendhinge_fleet/src/fetch.rs
+++ b/crates/bendhinge_fleet/src/fetch.rs
@@ -1,30 +1,35 @@
-//! From whom a router fetches what it lacks, one copy of a thing at a time.
+//! Selects the peer from which a newer value is fetched, with at most one fetch in flight.
 
 use std::net::SocketAddr;
 
 use crate::replica::Version;
 
-/// Somebody who holds a version that was lacking when it told of it.
+/// A peer that announced a version needed by this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FetchSource {
-    /// Where it is reached.
+    /// Address of the peer.
     pub address: SocketAddr,
-    /// What it holds.
+    /// Version that the peer holds.
     pub version: Version,
 }
 
-/// The fetches of one thing. Several peers tell of the same change, and a second copy on its way would
-/// delay both; but the first may be older, or never come.
+/// Fetch state of one value.
+///
+/// Several peers announce the same change. Fetching it from all of them at once would waste bandwidth,
+/// so the newest announcement is kept until the fetch in flight has ended.
 #[derive(Debug, Default)]
 pub struct FetchPlan {
     is_in_flight: bool,
-    /// Who told of the newest version meanwhile.
+    /// Peer that announced the newest version since the current fetch began.
     pending: Option<FetchSource>,
 }
 
 impl FetchPlan {
-    /// Notes that `holder` told of what it holds; `true` if a fetch is to begin with [`FetchPlan::next`].
-    /// Who holds nothing that `lacks` here is not remembered in the place of one that does.
+    /// Records a version announced by a peer. Returns `true` if the caller has to start fetching,
+    /// beginning with [`FetchPlan::next_source`].
+    ///
+    /// Announcements of versions that are not needed, or that are older than the pending one, are
+    /// ignored.
     #[must_use]
     pub fn announce(&mut self, source: FetchSource, needs: impl Fn(Version) -> bool) -> bool {
         let is_older = |pending: FetchSource| pending.version.revision > source.version.revision;
@@ -35,14 +40,14 @@
         !std::mem::replace(&mut self.is_in_flight, true)
     }
 
-    /// Whom to fetch from next, if what it holds still `lacks`; `None` ends it.
+    /// Returns the next peer to fetch from, or `None` if no announced version is needed any more.
     pub fn next_source(&mut self, needs: impl Fn(Version) -> bool) -> Option<FetchSource> {
         let next = self.pending.take().filter(|source| needs(source.version));
         self.is_in_flight = next.is_some();
         next
     }
 
-    /// Notes that a fetch was given up before its end: whoever tells next begins another.
+    /// Resets the state after a fetch was aborted, so that the next announcement starts a new one.
     pub const fn cancel(&mut self) {
         self.is_in_flight = false;
         self.pending = None;
--- a/crates/bendhinge_fleet/src/lib.rs
+++ b/crates/bendhinge_fleet/src/lib.rs
@@ -1,20 +1,21 @@
-//! What a router believes of its fleet, how old that belief is, and who refreshes it.
+//! State that a router replicates from the platform's store and shares with the other routers.
 //!
-//! * [`Replica`] is a value with the instant as of which it was known to be current.
-//! * [`Roster`] is which routers there are, found from a few seeds.
-//! * [`StoreReadSchedule`] says when a router itself reads the platform's store.
-//! * [`Directory`] is which upstreams there are, over lists that may vanish by mistake.
-//! * [`UpdateLog`] is what was learned lately, of which each peer is told what it lacks ([`PeerStates`]).
-//! * [`Loads`] is how many requests are at each upstream.
-//! * [`ListHistory`] tells a list of upstreams as changes, [`FetchPlan`] from whom it is fetched.
-//! * [`CacheRecovery`] says when a router that has just started asks the upstreams what they keep.
-//! * [`Judge`] is which upstreams answer, by their own answers and what others saw.
-//! * [`Rests`] is which upstreams asked to be spared, and until when.
-//! * [`Evidence`] is which upstreams answer nobody, by what all routers saw.
-//! * [`Quarantine`] is which requests crash the upstreams that run them.
+//! * [`Replica`] holds a value with the time as of which it was current.
+//! * [`Roster`] tracks the membership of the fleet, starting from a few seeds.
+//! * [`StoreReadSchedule`] decides when this router reads the store.
+//! * [`FetchPlan`] selects the peer from which a newer value is fetched.
+//! * [`Directory`] holds the known upstreams and tolerates lists that vanish by mistake.
+//! * [`ListHistory`] encodes upstream lists as deltas.
+//! * [`UpdateLog`] holds recent updates, and [`PeerStates`] which of them each peer lacks.
+//! * [`Loads`] estimates the number of requests at each upstream.
+//! * [`CacheRecovery`] decides when a router that has just started queries the upstreams' caches.
+//! * [`Judge`] tracks which upstreams are available, by their responses and by reports of peers.
+//! * [`Rests`] tracks the upstreams that asked for a pause, and until when.
+//! * [`Evidence`] tracks the upstreams that respond to no router, by the reports of all routers.
+//! * [`Quarantine`] tracks the requests that crash the upstreams running them.
 //!
-//! All of it is pure: explicit state, an explicit clock, no input or output.
-//! `docs/design/PLATFORM.md` says what was weighed.
+//! All types are pure state machines: the clock is passed in, and there is no I/O.
+//! `docs/design/PLATFORM.md` describes the design.
 
 mod cache_recovery;
 mod directory;
--- a/crates/bendhinge_fleet/src/lists.rs
+++ b/crates/bendhinge_fleet/src/lists.rs
@@ -1,9 +1,7 @@
-//! Lists of upstreams as changes against one that a peer holds already.
+//! Delta encoding of upstream lists.
 //!
-//! A list is some 100 bytes an upstream, and a deployment's releases, crashes and returns change one or
-//! two of them at a time, tens of times a minute: told whole, each change of one among 250 upstreams costs
-//! each box of a fleet 25 KB, and some 200 bytes as a change (reckoned from the schema, before
-//! compression).
+//! Most changes affect one or two upstreams, so a peer that holds a recent list is sent only the
+//! difference.
 
 use std::collections::VecDeque;
 use std::hash::{Hash, Hasher};
@@ -14,37 +12,36 @@
 
 use crate::directory::{UpstreamEntry, UpstreamList};
 
-/// Lists that are remembered for peers that hold an older one. A peer that missed more changes than that
-/// fetches the list whole.
+/// Number of recent lists kept as delta bases. A peer whose list is older fetches the full list.
 const MAX_LISTS: usize = 12;
 
-/// What differs between two lists.
+/// Difference between two lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ListDelta {
-    /// Upstreams that are not listed any more, by their hashes.
+    /// Hashes of the upstreams that were removed.
     pub removed: Vec<NameHash>,
-    /// Entries that are new or differ.
+    /// Entries that were added or changed.
     pub upserted: Vec<Arc<UpstreamEntry>>,
-    /// The data centres that are drained now, all of them.
+    /// All data centres that are drained in the new list.
     pub drained: Vec<DataCentreName>,
 }
 
-/// A list as it is told to a peer.
+/// A list as sent to a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// All of it.
+    /// The full list.
     Full(UpstreamList),
-    /// What changed since the list whose digest is `base`.
+    /// The difference from a list that the peer holds.
     Delta {
-        /// The digest of the list that the peer holds.
+        /// Digest of the list that the peer holds.
         base: u64,
-        /// What changed.
+        /// Changes to apply to it.
         delta: ListDelta,
     },
 }
 
 impl UpstreamList {
-    /// The hash of the content, the same at all routers of one build.
+    /// Returns a hash of the content. It is the same on all routers of one build.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let mut hasher = FxHasher::default();
@@ -52,7 +49,7 @@
         hasher.finish()
     }
 
-    /// What has to change in `base` to become this list.
+    /// Returns the changes that turn `base` into this list.
     #[must_use]
     pub fn delta_from(&self, base: &Self) -> ListDelta {
         let (now, before) = (by_hash(self), by_hash(base));
@@ -62,7 +59,7 @@
         ListDelta { removed: removed.collect(), upserted: upserted.collect(), drained: self.drained.clone() }
     }
 
-    /// This list with `changes` made.
+    /// Returns this list with `delta` applied.
     #[must_use]
     pub fn apply(&self, delta: &ListDelta) -> Self {
         let upserted = delta.upserted.iter().map(|entry| entry.hash);
@@ -71,8 +68,8 @@
         self.replace_entries(is_replaced, delta.upserted.iter().cloned(), delta.drained.clone())
     }
 
-    /// This list after the store wrote the entries that `came` and removed those that are `gone`, with these data
-    /// centres `drained`. An entry replaces all lives of the upstream that it names.
+    /// Returns this list after the store wrote the entries `upserted` and deleted the upstreams
+    /// `removed`. An entry replaces all incarnations of the upstream with its name.
     #[must_use]
     pub fn with_store_changes(
         &self,
@@ -89,7 +86,7 @@
         )
     }
 
-    /// This list without the entries that are replaced, and with those that `came`.
+    /// Returns this list with the matching entries removed and `upserted` inserted.
     fn replace_entries(
         &self,
         is_replaced: impl Fn(&UpstreamEntry) -> bool,
@@ -102,8 +99,7 @@
         Self { entries, drained }
     }
 
-    /// The same list, whose entries are shared with `other` where they are equal: lists that follow each
-    /// other are mostly alike, and several are held at a time.
+    /// Returns the same list, sharing the entries that are equal in `other` to save memory.
     #[must_use]
     pub fn share_entries_with(self, other: &Self) -> Self {
         let before = by_hash(other);
@@ -119,12 +115,12 @@
     list.entries.iter().map(|entry| (entry.hash, entry)).collect()
 }
 
-/// The lists that were held lately.
+/// Recently held lists, by digest.
 #[derive(Debug, Default)]
 pub struct ListHistory(VecDeque<(u64, Arc<UpstreamList>)>);
 
 impl ListHistory {
-    /// Remembers a list that is held.
+    /// Adds a list, evicting the oldest one if the history is full.
     pub fn push(&mut self, digest: u64, list: &Arc<UpstreamList>) {
         self.0.retain(|(known, _)| *known != digest);
         if self.0.len() == MAX_LISTS {
@@ -133,13 +129,13 @@
         self.0.push_back((digest, Arc::clone(list)));
     }
 
-    /// A list that was held lately.
+    /// Returns the list with the given digest, if it is still kept.
     #[must_use]
     pub fn get(&self, digest: u64) -> Option<&Arc<UpstreamList>> {
         self.0.iter().find(|(known, _)| *known == digest).map(|(_, list)| list)
     }
 
-    /// `list` as it is told to a peer that holds the one whose digest is `base`.
+    /// Encodes `list` for a peer that holds the list with the digest `base`.
     #[must_use]
     pub fn update_for(&self, list: &UpstreamList, base: Option<u64>) -> ListUpdate {
         let known = base.and_then(|base| Some((base, self.get(base)?)));
--- a/crates/bendhinge_fleet/src/loads.rs
+++ b/crates/bendhinge_fleet/src/loads.rs
@@ -1,4 +1,4 @@
-//! How many requests are believed to be at each upstream.
+//! Estimates the number of requests in progress at each upstream.
 
 mod highest;
 
@@ -12,19 +12,20 @@
 use crate::directory::UpstreamList;
 use crate::update_log::UpdateSource;
 
-/// After this time what an upstream said of others' requests counts for nothing in the mean.
+/// Maximum age of a report that contributes to the mean load.
 const MEAN_MAX_AGE: Duration = Duration::from_secs(4);
-/// How long what an upstream said goes on telling of it, in units of the time that its requests take to end from
-/// any moment on. Requests come and go, so that a report says ever less; but some upstreams have more than
-/// others for as long as they are the homes of much that is asked for.
+/// Time constant of the decay of a report, as a multiple of the mean remaining request duration.
+///
+/// It exceeds 1 because part of an upstream's load persists: upstreams that hold much of the cached
+/// content stay busier than others.
 const FADE_FACTOR: f32 = 1.5;
-/// Requests that last longer are counted as this: one that hangs says nothing of the others.
+/// Upper bound of the durations that enter the statistics, so that a hung request does not distort them.
 const MAX_DURATION_SECS: f32 = 5.0;
-/// Reports older than this are not passed on.
+/// Maximum age of a report that is shared with peers.
 const SHARE_MAX_AGE: Duration = Duration::from_millis(2_500);
-/// The unit of an age among [`PackedLoads`]: the oldest that is passed on takes 250 of them.
+/// Resolution of the ages in [`PackedLoads`]. A byte covers the maximum age of a shared report.
 const PACKED_AGE_UNIT: Duration = Duration::from_millis(10);
-/// A load among [`PackedLoads`] of which there is nothing to tell.
+/// Byte in [`PackedLoads`] that marks an upstream without a report.
 const NO_REPORT: u8 = u8::MAX;
 
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +36,7 @@
 }
 
 impl LatestReport {
-    /// Whether it is told to `listener`: not what it told itself, nor what is old.
+    /// Returns whether the report is sent to `receiver`: it is recent and did not come from there.
     fn is_shared_with(&self, receiver: UpdateSource, now: Instant) -> bool {
         self.source != receiver && now.since(self.reported_at) < SHARE_MAX_AGE
     }
@@ -43,44 +44,45 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct LoadState {
-    /// This router's requests there.
-    own: u32,
-    /// All requests there as it said last.
+    /// Requests of this router in progress at the upstream.
+    own_requests: u32,
+    /// Latest report of the upstream.
     report: Option<LatestReport>,
-    /// Others' requests there, as it said then.
-    others: u32,
+    /// Requests of other routers at the time of the report.
+    other_requests: u32,
 }
 
-/// What an upstream said of its load.
+/// Load reported by an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamLoad {
-    /// The upstream.
+    /// Hash that identifies the upstream.
     pub upstream: NameHash,
-    /// Requests there, running and waiting.
+    /// Requests running or queued at the upstream.
     pub in_progress: u32,
-    /// When it said so.
+    /// Time of the report.
     pub reported_at: Instant,
 }
 
-/// The loads of all upstreams of a list that both ends hold, in its order: first the requests at each in a
-/// byte, at most 254, then how old each is. A load takes two bytes so; with the upstream's hash it takes
-/// some ten, of which hardly any can be compressed.
+/// Loads of all upstreams of a list that sender and receiver both hold, in list order.
+///
+/// The first half has one byte for each load, capped at 254. The second half has one byte for the age of
+/// each report. Two bytes an upstream are far less than an entry with the upstream's hash.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PackedLoads(pub Vec<u8>);
 
-/// Loads as they are told to one that holds the same list of upstreams.
+/// Loads as sent to a peer that holds the same upstream list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListLoads {
-    /// That of each.
+    /// The loads of all upstreams.
     All(PackedLoads),
-    /// The highest, of a long list.
+    /// The highest loads only, for long lists.
     Highest(PackedHighLoads),
 }
 
-/// Lists of more upstreams are told by their highest loads.
+/// Maximum number of upstreams whose loads are all shared. Of longer lists only the highest loads are.
 const MAX_SHARED_LOADS: usize = 512;
 
-/// How long requests last, in seconds, with those of the past fading by each new one.
+/// Exponentially decaying statistics of request durations, in seconds.
 #[derive(Clone, Copy, Debug)]
 struct DurationStats {
     sum: f32,
@@ -88,9 +90,9 @@
 }
 
 impl DurationStats {
-    /// As if requests of two seconds had been seen: one second is left of those at any moment.
+    /// Initial statistics, equivalent to requests of two seconds each.
     const INITIAL: Self = Self { sum: 2.0, sum_of_squares: 4.0 };
-    /// What is left of the past after a request: some hundred count.
+    /// Decay for each request, which averages over roughly the last hundred.
     const DECAY: f32 = 0.99;
 
     fn add(&mut self, duration: Duration) {
@@ -99,14 +101,14 @@
         self.sum_of_squares = self.sum_of_squares * Self::DECAY + duration * duration;
     }
 
-    /// How long those that are there at any moment go on on average, in seconds: that is more than half of the mean,
-    /// since the long ones are met more often.
+    /// Returns the mean remaining duration of the requests in progress, in seconds. It exceeds half of
+    /// the mean duration, since long requests are more likely to be in progress at any time.
     fn mean_remaining_secs(self) -> f32 {
         self.sum_of_squares / (2.0 * self.sum.max(f32::MIN_POSITIVE))
     }
 }
 
-/// The loads of all upstreams.
+/// Loads of all upstreams as known to this router.
 #[derive(Debug)]
 pub struct Loads {
     upstreams: FxHashMap<NameHash, LoadState>,
@@ -120,63 +122,68 @@
 }
 
 impl Loads {
-    /// Notes that a request of this router goes to an upstream.
+    /// Counts a request sent by this router to an upstream.
     pub fn start_request(&mut self, upstream: NameHash) {
-        self.upstreams.entry(upstream).or_default().own += 1;
+        self.upstreams.entry(upstream).or_default().own_requests += 1;
     }
 
-    /// Notes that a request of this router has ended there after so long.
+    /// Counts the end of a request of this router, which took `duration`.
     pub fn end_request(&mut self, upstream: NameHash, duration: Duration) {
         if let Some(load) = self.upstreams.get_mut(&upstream) {
-            load.own = load.own.saturating_sub(1);
+            load.own_requests = load.own_requests.saturating_sub(1);
             if load.report.is_some() {
                 self.durations.add(duration);
             }
         }
     }
 
-    /// Takes in what an upstream said, to this router or to another.
-    pub fn record(&mut self, said: UpstreamLoad, source: UpdateSource) {
-        let load = self.upstreams.entry(said.upstream).or_default();
-        if load.report.is_none_or(|known| said.reported_at > known.reported_at) {
-            load.report =
-                Some(LatestReport { in_progress: said.in_progress, reported_at: said.reported_at, source });
-            load.others = said.in_progress.saturating_sub(load.own);
+    /// Records a report that an upstream gave to this router or to another.
+    pub fn record(&mut self, new_report: UpstreamLoad, source: UpdateSource) {
+        let load = self.upstreams.entry(new_report.upstream).or_default();
+        if load.report.is_none_or(|known| new_report.reported_at > known.reported_at) {
+            load.report = Some(LatestReport {
+                in_progress: new_report.in_progress,
+                reported_at: new_report.reported_at,
+                source,
+            });
+            load.other_requests = new_report.in_progress.saturating_sub(load.own_requests);
         }
     }
 
-    /// This router's own requests at an upstream.
+    /// Returns the number of requests of this router in progress at an upstream.
     #[must_use]
-    pub fn own(&self, upstream: NameHash) -> f32 {
-        self.upstreams.get(&upstream).map_or(0.0, |load| load.own as f32)
+    pub fn own_requests(&self, upstream: NameHash) -> f32 {
+        self.upstreams.get(&upstream).map_or(0.0, |load| load.own_requests as f32)
     }
 
-    /// Requests believed to be at an upstream now. What it said of others' requests fades into
-    /// `mean`, what the others have at an upstream of its pool on average, as fast as requests come and go.
-    /// Were it believed for longer, all routers would send to the one that had little a second ago.
+    /// Estimates the number of requests in progress at an upstream.
+    ///
+    /// The reported load of other routers decays towards `mean`, their mean load over the upstreams of
+    /// the pool, at the rate at which requests end. Relying on a report for longer would make all
+    /// routers send to an upstream that was idle a moment ago.
     #[must_use]
     pub fn estimate(&self, upstream: NameHash, mean: f32, now: Instant) -> f32 {
         let load = self.upstreams.get(&upstream).copied().unwrap_or_default();
         let fade_secs = FADE_FACTOR * self.durations.mean_remaining_secs();
         let weight = |report: LatestReport| (-now.since(report.reported_at).as_secs_f32() / fade_secs).exp();
         let weight = load.report.map_or(0.0, weight);
-        load.own as f32 + load.others as f32 * weight + mean * (1.0 - weight)
+        load.own_requests as f32 + load.other_requests as f32 * weight + mean * (1.0 - weight)
     }
 
-    /// What the others have at an upstream on average, by what upstreams said lately.
-    pub fn mean_of_others(&self, upstreams: impl Iterator<Item = NameHash>, now: Instant) -> f32 {
+    /// Returns the mean number of requests of other routers at an upstream, over the recent reports.
+    pub fn mean_other_requests(&self, upstreams: impl Iterator<Item = NameHash>, now: Instant) -> f32 {
         let loads = upstreams.filter_map(|upstream| self.upstreams.get(&upstream));
-        let recent =
-            loads.filter(|load| load.report.is_some_and(|said| now.since(said.reported_at) < MEAN_MAX_AGE));
+        let recent = loads
+            .filter(|load| load.report.is_some_and(|report| now.since(report.reported_at) < MEAN_MAX_AGE));
         let (count, total) =
-            recent.fold((0_u32, 0_u32), |(count, total), load| (count + 1, total + load.others));
+            recent.fold((0_u32, 0_u32), |(count, total), load| (count + 1, total + load.other_requests));
         total as f32 / count.max(1) as f32
     }
 
-    /// What upstreams said lately, for telling others; of many the highest.
+    /// Returns the recent reports to share with peers, limited to the highest loads.
     #[must_use]
     pub fn recent_reports(&self, now: Instant) -> Vec<UpstreamLoad> {
-        let said = self.upstreams.iter().filter_map(|(upstream, load)| {
+        let reports = self.upstreams.iter().filter_map(|(upstream, load)| {
             let LatestReport { in_progress, reported_at, .. } = load.report?;
             (now.since(reported_at) < SHARE_MAX_AGE).then_some(UpstreamLoad {
                 upstream: *upstream,
@@ -184,12 +191,12 @@
                 reported_at,
             })
         });
-        let mut shared: Vec<UpstreamLoad> = said.collect();
-        truncate_to_highest(&mut shared, MAX_SHARED_LOADS, |said| (said.in_progress, said.reported_at));
+        let mut shared: Vec<UpstreamLoad> = reports.collect();
+        truncate_to_highest(&mut shared, MAX_SHARED_LOADS, |load| (load.in_progress, load.reported_at));
         shared
     }
 
-    /// What upstreams said lately, for telling `listener`, who holds the same `list` of them.
+    /// Encodes the recent reports for `receiver`, which holds the same `list`.
     #[must_use]
     pub fn pack_for(&self, receiver: UpdateSource, list: &UpstreamList, now: Instant) -> ListLoads {
         let upstreams = list.entries.iter().map(|entry| entry.hash);
@@ -200,7 +207,7 @@
         }
     }
 
-    /// Takes in what a router that holds the same `list` told, its ages counted from `as_of`.
+    /// Records the loads received from a peer that holds the same `list`. Their ages count from `as_of`.
     pub fn apply(&mut self, shared: &ListLoads, list: &UpstreamList, source: UpdateSource, as_of: Instant) {
         match shared {
             ListLoads::All(states) => {
@@ -217,8 +224,8 @@
         }
     }
 
-    /// What upstreams said lately, for telling `listener`, who holds the same list of `upstreams`: of each
-    /// but what it told itself.
+    /// Encodes the recent reports for `receiver`, which holds the same list of `upstreams`. Reports that
+    /// came from `receiver` are left out.
     pub fn pack_all_for(
         &self,
         receiver: UpdateSource,
@@ -237,8 +244,8 @@
         PackedLoads(loads)
     }
 
-    /// Takes in what a router that holds the same list of `upstreams` told, its ages counted from `as_of`.
-    /// States of another length are of another list: nothing is taken of them.
+    /// Records the loads received from a peer that holds the same list of `upstreams`. Their ages count
+    /// from `as_of`. Data of another length belongs to another list and is ignored.
     pub fn apply_all(
         &mut self,
         states: &PackedLoads,
@@ -257,16 +264,16 @@
         }
     }
 
-    /// Forgets upstreams that are not listed and have no request of this router.
+    /// Removes the upstreams that are not listed and have no request of this router in progress.
     pub fn retain_listed(&mut self, listed: impl Fn(NameHash) -> bool) {
-        self.upstreams.retain(|upstream, load| load.own > 0 || listed(*upstream));
+        self.upstreams.retain(|upstream, load| load.own_requests > 0 || listed(*upstream));
     }
 }
 
-/// Keeps the highest `most` of what was said, of equal ones the latest.
+/// Truncates `shared` to the `limit` highest loads, preferring later reports among equal ones.
 fn truncate_to_highest<T>(shared: &mut Vec<T>, limit: usize, load: impl Fn(&T) -> (u32, Instant)) {
     if shared.len() > limit {
-        shared.sort_unstable_by_key(|said| Reverse(load(said)));
+        shared.sort_unstable_by_key(|entry| Reverse(load(entry)));
         shared.truncate(limit);
     }
 }
@@ -275,7 +282,7 @@
     u8::try_from(in_progress).unwrap_or(NO_REPORT).min(NO_REPORT - 1)
 }
 
-/// An age is never stated as less than it is.
+/// Encodes an age, rounding up so that a report never looks more recent than it is.
 fn pack_age(age: Duration) -> u8 {
     let units = age.as_millis().div_ceil(PACKED_AGE_UNIT.as_millis());
     u8::try_from(units).unwrap_or(u8::MAX)
--- a/crates/bendhinge_fleet/src/loads/highest.rs
+++ b/crates/bendhinge_fleet/src/loads/highest.rs
@@ -1,7 +1,7 @@
-//! The highest loads alone, where there are so many upstreams that most have nothing to tell.
+//! Encoding of the highest loads of a long upstream list.
 //!
-//! With two bytes for each, a message grows with the upstreams. Of thousands, a router meets few; what it has to know is
-//! which have much.
+//! With thousands of upstreams most are nearly idle. Sharing only the highest loads bounds the size of a
+//! message.
 
 use bendhinge_ids::{Instant, NameHash};
 
@@ -10,17 +10,17 @@
 };
 use crate::update_log::UpdateSource;
 
-/// So many are told: a kilobyte a message.
+/// Maximum number of loads in a message.
 const MAX_HIGHEST: usize = 256;
-/// The bytes of one: its place in the list, its load and its age.
+/// Encoded size of a load: two bytes of list index, one of load and one of age.
 const ENTRY_BYTES: usize = 4;
 
-/// The highest loads of the upstreams of a list that both ends hold, by their places in it.
+/// Highest loads of a list that sender and receiver both hold, by list index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PackedHighLoads(pub Vec<u8>);
 
 impl PackedHighLoads {
-    /// How many are told.
+    /// Returns the number of encoded loads.
     #[must_use]
     pub const fn count(&self) -> usize {
         self.0.len() / ENTRY_BYTES
@@ -28,8 +28,8 @@
 }
 
 impl Loads {
-    /// The highest loads that upstreams said lately, for telling `listener`, who holds the same list of `upstreams`:
-    /// of those but what it told itself.
+    /// Encodes the highest recent loads for `receiver`, which holds the same list of `upstreams`.
+    /// Reports that came from `receiver` are left out.
     pub fn pack_highest_for(
         &self,
         receiver: UpdateSource,
@@ -52,7 +52,8 @@
         PackedHighLoads(shared.collect())
     }
 
-    /// Takes in what a router that holds the same list of `upstreams` told, its ages counted from `as_of`.
+    /// Records the loads received from a peer that holds the same list of `upstreams`. Their ages count
+    /// from `as_of`.
     pub fn apply_highest(
         &mut self,
         shared: &PackedHighLoads,
--- a/crates/bendhinge_fleet/src/peers.rs
+++ b/crates/bendhinge_fleet/src/peers.rs
@@ -1,4 +1,4 @@
-//! What each peer said last of itself, and what it was told: both decide how little a message may say.
+//! Latest state of each peer, used to send it only what it lacks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,32 +9,32 @@
 use crate::roster::RosterDigest;
 use crate::update_log::{LogPosition, RouterIncarnation};
 
-/// What a peer said of itself.
+/// State that a peer reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerSummary {
-    /// Its life; `None` if it says none.
+    /// Incarnation of the peer, or `None` if it reports none.
     pub incarnation: Option<RouterIncarnation>,
-    /// Which members it knows.
+    /// Digest of the members that it knows.
     pub roster_digest: RosterDigest,
-    /// The digest of the list of upstreams that it holds, if it holds one.
+    /// Digest of the upstream list that it holds, if any.
     pub upstream_list_digest: Option<u64>,
-    /// The digest of what it knows of requests that crash upstreams.
+    /// Digest of its quarantine state.
     pub quarantine_digest: u64,
 }
 
-/// What is known of a peer.
+/// State of a peer as known to this router.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerState {
-    /// What it said last.
+    /// Latest summary received from the peer.
     pub summary: PeerSummary,
-    /// Up to which of the own news it was told in this life of its.
+    /// Last sequence number of this router's log that this incarnation of the peer acknowledged.
     pub acknowledged: Option<u64>,
-    /// Up to which of its news this router heard.
+    /// Last position of the peer's log that this router received.
     pub received: Option<LogPosition>,
     last_seen: Instant,
 }
 
-/// What is known of all peers that were talked to lately.
+/// States of all peers that were contacted recently.
 #[derive(Debug)]
 pub struct PeerStates {
     peers: FxHashMap<SocketAddr, PeerState>,
@@ -42,19 +42,19 @@
 }
 
 impl PeerStates {
-    /// Nobody was talked to. A peer that was not for `kept_for` is forgotten.
+    /// Creates an empty table. Peers without contact for `retention` are evicted.
     #[must_use]
     pub fn new(retention: Duration) -> Self {
         Self { peers: FxHashMap::default(), retention }
     }
 
-    /// What is known of `peer`.
+    /// Returns the state of `peer`.
     #[must_use]
     pub fn get(&self, peer: SocketAddr) -> Option<&PeerState> {
         self.peers.get(&peer)
     }
 
-    /// Notes what `peer` said of itself. A new life of it was told nothing.
+    /// Records a summary received from `peer`. A new incarnation resets the log positions.
     pub fn record_summary(&mut self, peer: SocketAddr, summary: PeerSummary, now: Instant) {
         let state = self.peers.entry(peer).or_insert(PeerState {
             summary,
@@ -70,7 +70,8 @@
         state.last_seen = now;
     }
 
-    /// Notes that `peer`, as it said that it was `life`, took in the own news up to `number`.
+    /// Records that `incarnation` of `peer` acknowledged this router's log up to `sequence`. Ignored if
+    /// the peer has restarted since.
     pub fn record_acknowledged(
         &mut self,
         peer: SocketAddr,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Notes that the news of `peer` were heard up to `position`.
+    /// Records that the log of `peer` was received up to `position`.
     pub fn record_received(&mut self, peer: SocketAddr, position: LogPosition) {
         if let Some(state) = self.peers.get_mut(&peer) {
             let known = state.received.filter(|received| received.incarnation == position.incarnation);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Forgets peers that were not talked to for long.
+    /// Evicts the peers that were not contacted within the retention period.
     pub fn evict_idle(&mut self, now: Instant) {
         let retention = self.retention;
         self.peers.retain(|_, state| now.since(state.last_seen) < retention);
--- a/crates/bendhinge_fleet/src/replica.rs
+++ b/crates/bendhinge_fleet/src/replica.rs
@@ -1,65 +1,67 @@
-//! A value with the instant as of which it was known to be current.
+//! Local replica of a value kept in the platform's store, with the time as of which it was current.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use bendhinge_ids::Instant;
 
-/// A number of the store that rises with each of its changes.
+/// Revision counter of the store, incremented with each change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Revision(pub u64);
 
-/// Which value is held: at which revision of the store it was read, and its digest.
+/// Identifies a value by the store revision at which it was read and by its digest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Version {
-    /// The revision at which it was read.
+    /// Store revision at the time of the read.
     pub revision: Revision,
-    /// The hash of its content: equal content at a later revision is no new value.
+    /// Hash of the content. Equal content at a later revision is not a new value.
     pub digest: u64,
 }
 
 impl Version {
-    /// Of a document with a revision of its own, that of its last change, which tells it from all others; it was read
-    /// when the store was at `read_at`.
+    /// Returns the version of a document that carries its own revision.
+    ///
+    /// The revision of the document's last change identifies its content and serves as the digest.
+    /// `read_at` is the revision of the store at the time of the read.
     #[must_use]
     pub const fn of_document(document: Revision, read_at: Revision) -> Self {
         Self { revision: read_at, digest: document.0 }
     }
 
-    /// The document's own revision.
+    /// Returns the document's own revision.
     #[must_use]
     pub const fn document(self) -> Revision {
         Revision(self.digest)
     }
 }
 
-/// A value that is held.
+/// A value with its version and the time as of which it was current.
 #[derive(Clone, Debug)]
 pub struct VersionedValue<T> {
-    /// Which one it is.
+    /// Version of the value.
     pub version: Version,
-    /// The value.
+    /// The value itself.
     pub value: Arc<T>,
-    /// An instant at which the store surely held it.
+    /// Lower bound of the time at which the store last held this value.
     ///
-    /// It is the start of the read, or, where it was heard from another router, the start of the
-    /// question less the age that the answer stated: never later than the truth, whatever was
-    /// delayed, cut or frozen on the way.
+    /// This is the start of the store read. For a value received from another router, it is the time of
+    /// the request minus the age stated in the response, so that delays on the way cannot make the value
+    /// look fresher than it is.
     pub as_of: Instant,
 }
 
-/// What became of an offered value.
+/// Result of updating or confirming a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateOutcome {
-    /// It is newer and is held now.
+    /// The value is newer and was installed.
     Updated,
-    /// It is the one that is held, which is known to be current as of a later instant.
+    /// The value is already held and is now known to be current as of a later time.
     Confirmed,
-    /// It is older, or known already.
+    /// The value is older, or adds nothing to what is known.
     Stale,
 }
 
-/// What is believed; at first nothing.
+/// Replica of a value. It is empty until the first update.
 #[derive(Debug)]
 pub struct Replica<T>(Option<VersionedValue<T>>);
 
@@ -70,37 +72,37 @@
 }
 
 impl<T> Replica<T> {
-    /// What is held.
+    /// Returns the held value with its version.
     #[must_use]
     pub const fn current(&self) -> Option<&VersionedValue<T>> {
         self.0.as_ref()
     }
 
-    /// The value that is held.
+    /// Returns the held value.
     #[must_use]
     pub fn value(&self) -> Option<&Arc<T>> {
         self.0.as_ref().map(|current| &current.value)
     }
 
-    /// Its version; of nothing, the lowest.
+    /// Returns the version of the held value, or the lowest version if the replica is empty.
     #[must_use]
     pub fn version(&self) -> Version {
         self.0.as_ref().map(|current| current.version).unwrap_or_default()
     }
 
-    /// How long ago it was known to be current; `None` if nothing is held.
+    /// Returns the time since the value was last known to be current, or `None` if the replica is empty.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.0.as_ref().map(|current| now.since(current.as_of))
     }
 
-    /// Whether it was known to be current within the last `span`.
+    /// Returns whether the value was known to be current within the last `max_age`.
     #[must_use]
     pub fn is_fresh(&self, max_age: Duration, now: Instant) -> bool {
         self.age(now).is_some_and(|age| age <= max_age)
     }
 
-    /// Whether another's value of `version` would have to be fetched to be held.
+    /// Returns whether a peer's value of `version` is newer than the held one and has to be fetched.
     #[must_use]
     pub fn needs(&self, version: Version) -> bool {
         match &self.0 {
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Takes evidence that the value of `version` was current as of `as_of`. Only the value that is
-    /// held can be confirmed, and only by a revision that is not older.
+    /// Records that the value of `version` was current as of `as_of`. Has no effect unless `version` has
+    /// the digest of the held value.
     pub fn confirm(&mut self, version: Version, as_of: Instant) -> UpdateOutcome {
         let Some(current) = &mut self.0 else { return UpdateOutcome::Stale };
         if current.version.digest != version.digest {
@@ -124,7 +126,7 @@
         if is_newer { UpdateOutcome::Confirmed } else { UpdateOutcome::Stale }
     }
 
-    /// Takes a value. It never goes back to an older revision.
+    /// Installs a value unless a newer or equal revision is held. Equal content only confirms the held value.
     pub fn update(
         &mut self,
         version: Version,
--- a/crates/bendhinge_fleet/src/roster.rs
+++ b/crates/bendhinge_fleet/src/roster.rs
@@ -1,9 +1,9 @@
-//! Which routers there are.
+//! Gossip-based membership of the routers.
 //!
-//! Nothing lists them. A router knows a few seeds, which may be stale, down or cut off, and
-//! hears of the others from whoever it reaches. What is known of a member is how long ago
-//! anybody heard from it directly; members that nobody heard from are kept for a while as
-//! contacts, so that two parts of a fleet that were cut apart find each other again.
+//! There is no central list. A router starts with a few seeds, some of which may be stale or
+//! unreachable, and discovers the others by gossip. A member is known by the time at which any router
+//! last heard from it directly. Dead members are kept for a while as contacts, so that the parts of a
+//! partitioned fleet find each other again.
 
 mod ranks;
 mod states;
@@ -18,62 +18,62 @@
 use self::ranks::{pick_random, primary_relay, rank_score, relays};
 pub use self::states::{MemberStates, RosterDigest};
 
-/// The times that membership depends on.
+/// Timeouts of membership.
 #[derive(Clone, Copy, Debug)]
 pub struct RosterTimeouts {
-    /// A member unheard of for longer counts as dead.
+    /// Time without contact after which a member counts as dead.
     pub dead_after: Duration,
-    /// One unheard of for longer is forgotten.
+    /// Time without contact after which a member is removed.
     pub expire_after: Duration,
 }
 
-/// What is known of a member.
+/// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// When anybody last heard from it, by the own clock.
+    /// Time of the last direct contact of any router with the member, by the local clock.
     pub last_heard: Instant,
-    /// Whether it is about to stop.
+    /// Whether the member is shutting down.
     pub is_leaving: bool,
-    /// Whether its reads of the store fail.
+    /// Whether the member's reads of the store fail.
     pub is_store_failing: bool,
-    /// What its link carries, in megabits a second; 0 if that is not known.
+    /// Bandwidth of the member's link in Mbit/s, or 0 if unknown.
     pub link_mbps: u32,
-    /// Who told of it last; the member itself, if it was heard directly.
+    /// Address of the router that reported it last, or its own if it was heard directly.
     reported_by: SocketAddr,
-    /// Its place among members that are alike.
+    /// Hash of the address that orders members of equal priority.
     rank_score: u64,
 }
 
-/// A member as another router tells of it.
+/// State of a member as reported by a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberReport {
-    /// Where it is reached.
+    /// Address of the member.
     pub address: SocketAddr,
-    /// How long ago it was heard from.
+    /// Time since the last direct contact with the member.
     pub age: Duration,
-    /// Whether it is about to stop.
+    /// Whether the member is shutting down.
     pub is_leaving: bool,
-    /// Whether its reads of the store fail.
+    /// Whether the member's reads of the store fail.
     pub is_store_failing: bool,
-    /// What its link carries, in megabits a second; 0 if that is not known.
+    /// Bandwidth of the member's link in Mbit/s, or 0 if unknown.
     pub link_mbps: u32,
 }
 
-/// Whom to talk to next.
+/// Router to exchange state with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// The one of those nearer to the store that is asked most.
+    /// The preferred relay, a router with a better rank.
     Relay(SocketAddr),
-    /// Another of them, in case that one is cut off without knowing it.
+    /// Another relay, in case the preferred one is partitioned without noticing.
     AlternateRelay(SocketAddr),
-    /// Any live member.
+    /// A random live member.
     Random(SocketAddr),
-    /// A seed, or a member that counts as dead.
+    /// A seed or a dead member, to rejoin after a partition.
     Reconnect(SocketAddr),
 }
 
 impl Contact {
-    /// Where it is reached.
+    /// Returns the address of the contact.
     #[must_use]
     pub const fn address(self) -> SocketAddr {
         match self {
@@ -85,17 +85,17 @@
     }
 }
 
-/// From where a router has news.
+/// Origin of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// It read the store.
+    /// Read from the store.
     Store,
-    /// Another router told it.
+    /// Received from another router.
     Peer,
 }
 
 impl Origin {
-    /// The word for logs.
+    /// Returns the name used in logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -105,32 +105,32 @@
     }
 }
 
-/// How far a round of exchanges reaches.
+/// Set of routers contacted in a round of exchanges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// To one of those nearer to the store alone.
+    /// One relay only.
     RelayOnly,
-    /// To any member besides.
+    /// One relay and one random member.
     RelayAndRandom,
 }
 
-/// In one round of this many another reader is asked than a router's own.
+/// Average number of rounds between exchanges with a relay that is not the preferred one.
 const ALTERNATE_RELAY_PERIOD: usize = 4;
 
-/// The members as one router knows them.
+/// Members as known to one router.
 #[derive(Debug)]
 pub struct Roster {
     own: SocketAddr,
     own_link_mbps: u32,
     timeouts: RosterTimeouts,
     seeds: Vec<SocketAddr>,
-    /// In the order of addresses, which is the same at all routers that know the same members.
+    /// Ordered by address, so that routers with the same members agree on the order.
     members: BTreeMap<SocketAddr, Member>,
     digest: RosterDigest,
 }
 
 impl Roster {
-    /// A roster of a router reached at `own` that knows only its seeds.
+    /// Creates the roster of the router at `own`, which knows only its seeds.
     #[must_use]
     pub fn new(own: SocketAddr, own_link_mbps: u32, seeds: &[SocketAddr], timeouts: RosterTimeouts) -> Self {
         let digest = RosterDigest::of(rank_score(own), own_link_mbps);
@@ -140,17 +140,17 @@
         roster
     }
 
-    /// Replaces the seeds after the settings changed.
+    /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.iter().copied().filter(|seed| *seed != self.own).collect();
     }
 
-    /// Takes in what a member tells of itself, received at `now`.
+    /// Merges what a member reported of itself, received at `now`.
     pub fn merge_direct(&mut self, report: &MemberReport, now: Instant) {
         self.merge_reported(report, report.address, now);
     }
 
-    /// Takes in what the router at `told_by` tells of a member, received at `now`.
+    /// Merges what the router at `reported_by` reported of a member, received at `now`.
     pub fn merge_reported(&mut self, report: &MemberReport, reported_by: SocketAddr, now: Instant) {
         if report.address == self.own || report.age >= self.timeouts.expire_after {
             return;
@@ -178,7 +178,7 @@
         self.members.insert(report.address, member);
     }
 
-    /// The known members, for telling others.
+    /// Returns reports of all known members, to be sent to peers.
     pub fn members(&self, now: Instant) -> impl Iterator<Item = MemberReport> {
         self.members.iter().map(move |(address, member)| MemberReport {
             address: *address,
@@ -189,7 +189,7 @@
         })
     }
 
-    /// Forgets members that nobody heard from for long.
+    /// Removes the members without contact for longer than the expiry time.
     pub fn remove_expired(&mut self, now: Instant) {
         let after = self.timeouts.expire_after;
         let Self { members, digest, .. } = self;
@@ -202,7 +202,7 @@
         });
     }
 
-    /// The members that were heard from lately and are not about to stop.
+    /// Returns the members with recent contact that are not shutting down.
     pub fn live(&self, now: Instant) -> impl Iterator<Item = (SocketAddr, &Member)> {
         let live = self.members.iter().filter(move |(_, member)| self.is_live(member, now));
         live.map(|(address, member)| (*address, member))
@@ -212,22 +212,22 @@
         !member.is_leaving && now.since(member.last_heard) < self.timeouts.dead_after
     }
 
-    /// How many members are live, this router among them.
+    /// Returns the number of live members, including this router.
     #[must_use]
     pub fn live_count(&self, now: Instant) -> usize {
         1 + self.live(now).count()
     }
 
-    /// How many members are known, this router and those that may be dead among them.
+    /// Returns the number of known members, including this router and dead ones.
     #[must_use]
     pub fn known_count(&self) -> usize {
         1 + self.members.len()
     }
 
-    /// The live members and this router in the order in which they read the store: those whose
-    /// reads fail come last, and wide links before narrow ones. Whoever is first reads the rules
-    /// again and again and hands them to several others: with a megabyte of rules that alone fills a
-    /// link of 10 Mbit/s.
+    /// Returns the live members and this router in the order in which they read the store.
+    ///
+    /// Members with failing reads come last, and faster links come before slower ones: the first in rank
+    /// reads often and sends what it read to several others, which can saturate a slow link.
     fn ranked(&self, own_reads_fail: bool, now: Instant) -> Vec<SocketAddr> {
         let own = (own_reads_fail, Reverse(self.own_link_mbps), rank_score(self.own), self.own);
         let others = self.live(now).map(|(address, member)| {
@@ -238,17 +238,18 @@
         ranked.into_iter().map(|(.., address)| address).collect()
     }
 
-    /// This router's place in the order in which members read the store; 0 is the first.
+    /// Returns this router's rank in the order of store reads, starting at 0.
     #[must_use]
     pub fn own_rank(&self, own_reads_fail: bool, now: Instant) -> usize {
         self.position(&self.ranked(own_reads_fail, now))
     }
 
-    /// Whom to ask in a round; `draw` gives a number below its argument.
+    /// Selects the routers to exchange state with in a round. `draw` returns a random number below its
+    /// argument.
     ///
-    /// Each router asks the same few members again and again, since every connection costs memory
-    /// at both ends: most of the time one and the same of those nearer to the store, now and then
-    /// another of them, in case that one is cut off without knowing it.
+    /// The selection favours the same few members, since each connection costs memory at both ends. An
+    /// alternate relay is selected now and then, in case the preferred one is partitioned without
+    /// noticing.
     pub fn contacts(
         &self,
         reach: Reach,
@@ -276,11 +277,11 @@
         contacts
     }
 
-    /// Whom to tell news at once, which this router has from `origin`.
+    /// Returns the members to which an update from `origin` is pushed.
     ///
-    /// Those that would ask it for news, and the one that it asks itself: so news runs down from
-    /// whoever read it, and nearly nobody is told twice. But whoever read it itself tells all that
-    /// the first in rank would tell: it may have had to read since that one is lost.
+    /// These are the members for which this router is the preferred relay, and its own preferred relay.
+    /// An update thus spreads down the relay tree with few duplicates. A router that read the store
+    /// itself also pushes to the members served by the first rank, which may be down.
     #[must_use]
     pub fn push_targets(&self, origin: Origin, own_reads_fail: bool, now: Instant) -> Vec<SocketAddr> {
         let ranked = self.ranked(own_reads_fail, now);
@@ -296,14 +297,15 @@
         targets.map(|(_, address)| *address).collect()
     }
 
-    /// Whether the fleet is so small that one of it can tell all others something itself.
+    /// Returns whether the fleet is small enough for one router to push to all others.
     #[must_use]
     pub fn is_small(&self) -> bool {
         self.known_count() <= ranks::SMALL_FLEET_MAX
     }
 
-    /// Whom to tell at once of suspected requests. As [`Roster::push_targets`], but in a small fleet whoever saw
-    /// something tells all, and nobody else tells it on.
+    /// Returns the members to which a suspicion of requests is pushed. Works like
+    /// [`Roster::push_targets`], except that in a small fleet the router that made the observation
+    /// pushes to all members and nobody forwards it.
     #[must_use]
     pub fn suspicion_push_targets(
         &self,
@@ -318,19 +320,19 @@
         }
     }
 
-    /// This router's place in `ranked`.
+    /// Returns this router's index in `ranked`.
     fn position(&self, ranked: &[SocketAddr]) -> usize {
         ranked.iter().position(|address| *address == self.own).unwrap_or(0)
     }
 
-    /// Any live member.
+    /// Selects a random live member.
     pub fn random_contact(&self, now: Instant, draw: &mut impl FnMut(usize) -> usize) -> Option<Contact> {
         let mut live: Vec<SocketAddr> = self.live(now).map(|(address, _)| address).collect();
         live.sort_unstable();
         pick_random(&live, draw).map(Contact::Random)
     }
 
-    /// Somebody to look for: a seed that is no live member, or a member that counts as dead.
+    /// Selects a random member to rejoin: a seed that is not live, or a dead member.
     pub fn reconnect_contact(&self, now: Instant, draw: &mut impl FnMut(usize) -> usize) -> Option<Contact> {
         let is_live = |address| self.members.get(&address).is_some_and(|member| self.is_live(member, now));
         let mut unreachable: Vec<SocketAddr> =
--- a/crates/bendhinge_fleet/src/roster/ranks.rs
+++ b/crates/bendhinge_fleet/src/roster/ranks.rs
@@ -1,14 +1,14 @@
-//! The order in which members read the store, and who asks whom in it.
+//! Relay topology among the members, by their rank in the order of store reads.
 
 use std::net::SocketAddr;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// In fleets of this size or smaller all ask the first in rank.
+/// Largest fleet in which all members use the first rank as relay.
 pub(super) const SMALL_FLEET_MAX: usize = 24;
 
-/// Those of `ranked` of which the one at `place` asks one for what it hears of the store: in a
-/// small fleet the first, in a large one some in between, so that nobody is asked by all.
+/// Returns the candidate relays of the member at `position`. In a small fleet this is the first rank, in
+/// a large one a middle tier, so that no member serves all others.
 pub(super) fn relays(position: usize, ranked: &[SocketAddr]) -> &[SocketAddr] {
     let relay_count = ranked.len().isqrt();
     let is_small = ranked.len() <= SMALL_FLEET_MAX;
@@ -19,7 +19,7 @@
     }
 }
 
-/// The one of them that it asks most.
+/// Returns the preferred relay of the member at `position`.
 pub(super) fn primary_relay(position: usize, ranked: &[SocketAddr]) -> Option<SocketAddr> {
     let relays = relays(position, ranked);
     relays.get(position % relays.len().max(1)).copied()
@@ -32,9 +32,10 @@
     if candidates.is_empty() { None } else { candidates.get(draw(candidates.len())).copied() }
 }
 
-/// A member's place among the others: the same at all routers, and no data centre's boxes first.
+/// Hashes an address to order members of equal priority. The order is the same at all routers and mixes
+/// data centres.
 pub(super) fn rank_score(address: SocketAddr) -> u64 {
-    /// Any number; it sets this order apart from other uses of the hash.
+    /// Seed that separates this hash from other uses of the function.
     const SEED: u64 = 0x5eed;
     match address {
         SocketAddr::V4(address) => {
--- a/crates/bendhinge_fleet/src/store_reads.rs
+++ b/crates/bendhinge_fleet/src/store_reads.rs
@@ -1,53 +1,48 @@
-//! When a router reads the platform's store itself.
+//! Schedules this router's reads of the platform's store.
 //!
-//! Nobody is appointed. Each router lets its belief grow to an age that depends on its rank
-//! among the live routers, and reads when the belief is older: the first in rank reads most, the
-//! others hear from it and stay silent, and when it dies, is cut off or is turned away, the next
-//! one's patience ends a little later.
+//! There is no elected leader. A router reads when its replica exceeds an age that grows with the
+//! router's rank among the live ones. The first in rank therefore reads most often and the others
+//! receive the value from it. If it fails, the next in rank reads shortly after.
 
 use std::time::Duration;
 
 use bendhinge_ids::Instant;
 
-/// The times that reading depends on.
+/// Timings of store reads.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreReadTimings {
-    /// The age at which the first in rank reads.
+    /// Replica age at which the router of the first rank reads.
     pub first_rank_age: Duration,
-    /// How much later the next in rank does.
+    /// Additional age for each further rank.
     pub rank_step: Duration,
-    /// The age at which every router reads.
+    /// Replica age at which every router reads.
     pub max_age: Duration,
-    /// How long after a failed read a router waits whose belief others keep fresh.
+    /// Delay after a failed read while peers keep the replica fresh.
     pub retry_delay: Duration,
-    /// How long the first in rank wait when nobody does; the others wait longer, the later the
-    /// longer: a store that is down is not asked by all.
+    /// Delay after a failed read for the first ranks when no peer has a fresh value. Later ranks wait
+    /// longer, so that a store that is down is not flooded with requests.
     pub urgent_retry_delay: Duration,
 }
 
-/// How many routers in rank wait equally long after a read that gave nothing.
+/// Number of consecutive ranks that share one urgent retry delay.
 const RANKS_PER_GROUP: usize = 4;
 
-/// For so many groups of [`RANKS_PER_GROUP`] routers the pause grows evenly, from then on with the square of the
-/// group's number. So a fleet of any size makes at most 40 calls a second to a store that gives nothing:
-/// 28 of the even groups, and 12 of all others. Were the pause to end at [`StoreReadTimings::retry_delay`], 295
-/// routers would make some 170.
+/// Number of rank groups over which the urgent retry delay grows linearly. For later groups it grows
+/// quadratically, which bounds the request rate of fleets of any size.
 const LINEAR_GROUPS: u32 = 4;
 
-/// How long a router that holds no list waits before it reads a long one by itself: within two exchanges it hears of
-/// most others, and knows its rank.
+/// Time for a router without a list to discover the other members and determine its rank.
 const RANK_SETTLE_TIME: Duration = Duration::from_millis(600);
 
-/// The longest such pause. It is for those whom others tell that the store is back: a router that
-/// reaches nobody has the first rank as soon as it counts the others as dead, and that rank's pause.
+/// Upper bound of the urgent retry delay. A router that reaches no other one takes the first rank and
+/// its shorter delay.
 const MAX_URGENT_DELAY: Duration = Duration::from_secs(30);
 
-/// The shortest pause after a read that found the store empty. Nobody can be served before it holds
-/// something, and a fleet that has just started needs about as long to know its ranks: before that, each of
-/// its routers takes itself for one of the first.
+/// Minimum delay after a read that found the store empty. It gives routers that have just started time
+/// to determine their ranks.
 const EMPTY_STORE_DELAY: Duration = Duration::from_secs(1);
 
-/// One router's plan.
+/// Read schedule of one router.
 #[derive(Debug)]
 pub struct StoreReadSchedule {
     timings: StoreReadTimings,
@@ -56,30 +51,30 @@
 }
 
 impl StoreReadSchedule {
-    /// A plan before any read.
+    /// Creates a schedule without any past read.
     #[must_use]
     pub const fn new(timings: StoreReadTimings) -> Self {
         Self { timings, failed_at: None, answered_at: None }
     }
 
-    /// Whether the last read failed.
+    /// Returns whether the last read failed.
     #[must_use]
     pub const fn is_failing(&self) -> bool {
         self.failed_at.is_some()
     }
 
-    /// Notes a read that gave an answer, which may have held nothing yet.
+    /// Records a read that succeeded, even if the store was empty.
     pub const fn record_success(&mut self, now: Instant) {
         self.failed_at = None;
         self.answered_at = Some(now);
     }
 
-    /// Notes a read without an answer.
+    /// Records a read that failed.
     pub const fn record_failure(&mut self, now: Instant) {
         self.failed_at = Some(now);
     }
 
-    /// The age of the belief at which a router of `rank` reads, to whom a read takes `cost`.
+    /// Returns the replica age at which a router of `rank` reads, given that a read takes `cost`.
     #[must_use]
     pub fn read_age(&self, rank: usize, cost: Duration) -> Duration {
         let rank = u32::try_from(rank).unwrap_or(u32::MAX);
@@ -87,16 +82,19 @@
         first.saturating_add(self.timings.rank_step.saturating_mul(rank)).min(self.max_read_age(cost))
     }
 
-    /// The age at which every router reads. What takes long to read is that old when it is there, and
-    /// as old again before the next read is through: nobody else is to read for that alone.
+    /// Returns the replica age at which every router reads, given that a read takes `cost`.
+    ///
+    /// A value is already `cost` old when a read completes and ages as much again during the next one.
+    /// This alone must not trigger reads by other routers.
     #[must_use]
     pub const fn max_read_age(&self, cost: Duration) -> Duration {
         self.timings.max_age.saturating_add(cost.saturating_mul(2))
     }
 
-    /// How long a router of `rank` waits before it reads a list of many pages to its end, which others may tell it
-    /// meanwhile. The store hands all such lists out through one link: were hundreds of routers to read one of thousands
-    /// of upstreams at the same time, all would wait for seconds, and the first would have it as late as the last.
+    /// Returns how long a router of `rank` waits before it reads all pages of a long list.
+    ///
+    /// Reading in rank order keeps the routers of a fleet from sharing the store's bandwidth. Most of
+    /// them receive the list from a peer before their delay has passed.
     #[must_use]
     pub fn full_list_delay(&self, rank: usize, holds_list: bool) -> Duration {
         let settle_time = if holds_list { Duration::ZERO } else { RANK_SETTLE_TIME };
@@ -104,7 +102,7 @@
         settle_time.saturating_add(self.timings.rank_step.saturating_mul(rank))
     }
 
-    /// How long a router of `rank` waits after a read that gave nothing while nobody has news.
+    /// Returns the delay of `rank` after a failed or empty read while no peer has a fresh value.
     fn urgent_delay(&self, rank: usize) -> Duration {
         let group = u32::try_from(1 + rank / RANKS_PER_GROUP).unwrap_or(u32::MAX);
         let multiplier =
@@ -112,8 +110,8 @@
         self.timings.urgent_retry_delay.saturating_mul(multiplier).min(MAX_URGENT_DELAY)
     }
 
-    /// How long until the router should read: zero if it is due. `age` is that of its oldest
-    /// belief, `None` if it believes nothing yet; a read takes `cost`.
+    /// Returns the time until the next read, or zero if it is due. `age` is the age of the oldest
+    /// replica, or `None` if there is none; a read takes `cost`.
     #[must_use]
     pub fn time_until_read(
         &self,
@@ -135,7 +133,8 @@
         let delay = if until_max_age.is_zero() {
             self.urgent_delay(rank).saturating_sub(elapsed)
         } else {
-            // Others are heard, but by the age at which all read nobody counts on that any more.
+            // Peers may still have a fresh value, but at the maximum age a router no longer relies on
+            // it.
             self.timings.retry_delay.saturating_sub(elapsed).min(until_max_age)
         };
         until_due.max(delay)
--- a/crates/bendhinge_fleet/src/update_log.rs
+++ b/crates/bendhinge_fleet/src/update_log.rs
@@ -1,57 +1,57 @@
-//! News in the order in which a router learned it, of which each peer is told what it lacks.
+//! Log of recent updates, from which each peer is sent the entries that it has not received.
 //!
-//! A message holds so much news at most; the rest goes with the next one. So a burst, as when a fleet starts
-//! and all prompts are read for the first time, delays news and loses none of it as long as it fits into what
-//! is kept.
+//! A message holds a limited number of entries and the rest follows with the next one. A burst of
+//! updates is therefore delayed, but not lost while it fits into the log.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use bendhinge_ids::{Instant, NameHash};
 
-/// From whom a router learned something.
+/// Where an update came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateSource {
-    /// By its own requests.
+    /// A request of this router.
     Local,
-    /// From another router, named by a hash of its address.
+    /// Another router, identified by a hash of its address.
     Router(NameHash),
 }
 
-/// One life of a router: a number drawn at its start, never 0.
+/// Random non-zero identifier of one run of a router process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterIncarnation(pub u64);
 
-/// Up to where the news of one life of a router were told; each life numbers its news from 1.
+/// Position in the update log of a router. Each incarnation numbers its entries from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPosition {
-    /// Whose news.
+    /// Incarnation of the router whose log it is.
     pub incarnation: RouterIncarnation,
-    /// The number of the last piece that was told; 0 before the first.
+    /// Sequence number of the last entry sent, or 0 before the first.
     pub sequence: u64,
 }
 
-/// How much news is kept and told.
+/// Limits on the entries that are kept and sent.
 #[derive(Clone, Copy, Debug)]
 pub struct UpdateLogLimits {
-    /// Pieces that are kept.
+    /// Maximum number of entries kept.
     pub max_entries: usize,
-    /// Pieces in one message.
+    /// Maximum number of entries in a message.
     pub max_batch_entries: usize,
-    /// How old a piece may be to be told.
+    /// Maximum age of an entry that is sent.
     pub max_age: Duration,
-    /// How old to a peer that was told nothing before: it has older ones from others.
+    /// Maximum age of an entry that is sent to a peer for the first time. Such a peer has older entries
+    /// from other routers.
     pub max_age_for_new_peer: Duration,
 }
 
-/// The news in one message.
+/// Entries for one message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpdateBatch<T> {
-    /// The pieces, oldest first.
+    /// The entries, oldest first.
     pub entries: Vec<T>,
-    /// The number of the last one that was told or passed over.
+    /// Sequence number of the last entry that was included or skipped.
     pub last_sequence: u64,
-    /// Pieces that the peer lacks and is not told of, since they are too old or not kept any more.
+    /// Number of entries that the peer misses because they expired or were evicted.
     pub dropped: u64,
 }
 
@@ -62,23 +62,23 @@
     recorded_at: Instant,
 }
 
-/// What a router learned lately, in order.
+/// Recent updates of a router, in the order of their arrival.
 #[derive(Debug)]
 pub struct UpdateLog<T> {
     limits: UpdateLogLimits,
     entries: VecDeque<Entry<T>>,
-    /// The number of the piece before the oldest that is kept.
+    /// Sequence number of the last entry that was evicted.
     last_evicted: u64,
 }
 
 impl<T: Copy> UpdateLog<T> {
-    /// No news yet.
+    /// Creates an empty log.
     #[must_use]
     pub const fn new(limits: UpdateLogLimits) -> Self {
         Self { limits, entries: VecDeque::new(), last_evicted: 0 }
     }
 
-    /// Adds a piece that was learned at `now`.
+    /// Appends an entry, evicting the oldest one if the log is full.
     pub fn push(&mut self, value: T, source: UpdateSource, now: Instant) {
         if self.entries.len() >= self.limits.max_entries {
             self.entries.pop_front();
@@ -87,14 +87,14 @@
         self.entries.push_back(Entry { value, source, recorded_at: now });
     }
 
-    /// What `listener` lacks that was told up to the number `told`, or nothing before; not what it told
-    /// itself.
+    /// Returns the entries after the sequence number `acknowledged` for `receiver`, without those that
+    /// came from `receiver`. `None` stands for a peer that has received nothing yet.
     #[must_use]
     pub fn since(&self, acknowledged: Option<u64>, receiver: UpdateSource, now: Instant) -> UpdateBatch<T> {
         let first_within =
             |max_age: Duration| self.entries.partition_point(|entry| now.since(entry.recorded_at) > max_age);
         let first_unexpired = first_within(self.limits.max_age);
-        // A number that was never given is one of a life before.
+        // A sequence number beyond the end of the log belongs to an earlier incarnation.
         let (first, dropped) = match acknowledged.filter(|acknowledged| *acknowledged <= self.last_sequence())
         {
             None => (first_within(self.limits.max_age_for_new_peer), 0),
@@ -119,7 +119,7 @@
         UpdateBatch { entries, last_sequence: self.last_evicted + end as u64, dropped }
     }
 
-    /// Gives up what is too old to be told.
+    /// Evicts the entries that are too old to be sent.
     pub fn evict_expired(&mut self, now: Instant) {
         let expired =
             self.entries.partition_point(|entry| now.since(entry.recorded_at) > self.limits.max_age);
--- a/crates/bendhinge_gateway/src/knowledge/upstreams.rs
+++ b/crates/bendhinge_gateway/src/knowledge/upstreams.rs
@@ -332,7 +332,7 @@
 
     /// Whether requests of this gateway are in progress at an upstream.
     pub(crate) fn has_own(&self, upstream: NameHash) -> bool {
-        self.state.lock().unwrap().loads.own(upstream) > 0.0
+        self.state.lock().unwrap().loads.own_requests(upstream) > 0.0
     }
 
     /// Whether an upstream is listed, or vanished lately.
@@ -405,7 +405,7 @@
         now: Instant,
     ) -> (Vec<&Listed>, Vec<Candidate>) {
         let listed = self.allowed(question.pool, question.regions, regions);
-        let mean = self.loads.mean_of_others(listed.iter().map(|listed| listed.entry.hash), now);
+        let mean = self.loads.mean_other_requests(listed.iter().map(|listed| listed.entry.hash), now);
         let mut candidates: Vec<Candidate> =
             listed.iter().map(|listed| self.candidate(listed, question, mean, now)).collect();
         if !candidates.iter().any(|candidate| candidate.takes_work) {
@@ -447,7 +447,7 @@
         let is_fit = self.is_open(listed, now) && !question.tried.contains(&upstream);
         // Nobody hears from an upstream to which nobody sends: what the others have there is nothing.
         let load = if listed.is_drained {
-            self.loads.own(upstream)
+            self.loads.own_requests(upstream)
         } else {
             self.loads.estimate(upstream, mean, now)
         };
--- a/crates/bendhinge_lab/src/bench/resting.rs
+++ b/crates/bendhinge_lab/src/bench/resting.rs
@@ -272,7 +272,7 @@
     /// other does.
     fn candidates(&self, router: &Router, tried: &[NameHash]) -> Vec<Candidate> {
         let upstreams = 0..self.scene.upstreams;
-        let mean = router.loads.mean_of_others(upstreams.clone().map(hash), self.now);
+        let mean = router.loads.mean_other_requests(upstreams.clone().map(hash), self.now);
         let mut candidates: Vec<Candidate> =
             upstreams.map(|upstream| self.candidate(router, upstream, mean, tried)).collect();
         if !candidates.iter().any(|candidate| candidate.takes_work) {
