--- a/crates/bendhinge_fleet/tests/fetch.rs
+++ b/crates/bendhinge_fleet/tests/fetch.rs
@@ -1,71 +1,71 @@
-//! Who holds what is lacking is asked, one after the other, and nobody else.
+//! Tests the choice of the peer to fetch from and the limit of one fetch in flight.
 
 use std::net::SocketAddr;
 
 use bendhinge_fleet::{FetchPlan, FetchSource, Revision, Version};
 
-fn holder(number: u8, revision: u64) -> FetchSource {
+fn source(number: u8, revision: u64) -> FetchSource {
     let version = Version { revision: Revision(revision), digest: revision };
     FetchSource { address: SocketAddr::from(([10, 0, 0, number], 7_000)), version }
 }
 
-/// What lacks to somebody who holds `revision`.
-fn lacks(revision: u64) -> impl Fn(Version) -> bool {
+/// Returns whether a router that holds `revision` needs a version.
+fn needs(revision: u64) -> impl Fn(Version) -> bool {
     move |version| version.revision > Revision(revision)
 }
 
 #[test]
-fn one_copy_is_on_its_way_at_a_time() {
+fn only_one_fetch_is_in_flight() {
     let mut plan = FetchPlan::default();
-    assert!(plan.announce(holder(1, 5), lacks(4)));
-    assert_eq!(plan.next_source(lacks(4)), Some(holder(1, 5)));
-    assert!(!plan.announce(holder(2, 5), lacks(4)));
-    assert_eq!(plan.next_source(lacks(5)), None, "it came");
-    assert!(plan.announce(holder(3, 6), lacks(5)), "what is newer is fetched again");
+    assert!(plan.announce(source(1, 5), needs(4)));
+    assert_eq!(plan.next_source(needs(4)), Some(source(1, 5)));
+    assert!(!plan.announce(source(2, 5), needs(4)));
+    assert_eq!(plan.next_source(needs(5)), None, "the value has arrived");
+    assert!(plan.announce(source(3, 6), needs(5)), "a newer version starts a new fetch");
 }
 
 #[test]
-fn whoever_told_meanwhile_is_asked_if_nothing_came() {
+fn pending_source_is_used_after_a_failed_fetch() {
     let mut plan = FetchPlan::default();
-    assert!(plan.announce(holder(1, 5), lacks(4)));
-    assert_eq!(plan.next_source(lacks(4)), Some(holder(1, 5)));
-    assert!(!plan.announce(holder(2, 5), lacks(4)));
-    assert_eq!(plan.next_source(lacks(4)), Some(holder(2, 5)));
-    assert_eq!(plan.next_source(lacks(4)), None);
+    assert!(plan.announce(source(1, 5), needs(4)));
+    assert_eq!(plan.next_source(needs(4)), Some(source(1, 5)));
+    assert!(!plan.announce(source(2, 5), needs(4)));
+    assert_eq!(plan.next_source(needs(4)), Some(source(2, 5)));
+    assert_eq!(plan.next_source(needs(4)), None);
 }
 
-/// While a copy is on its way, most that tell hold nothing newer: they must not make one forgotten who does.
+/// Guards against a pending source being replaced by a peer that holds nothing newer.
 #[test]
-fn who_has_nothing_new_is_not_remembered_in_the_place_of_one_that_has() {
+fn pending_source_is_not_replaced_by_an_older_one() {
     let mut plan = FetchPlan::default();
-    assert!(plan.announce(holder(1, 5), lacks(4)));
-    assert_eq!(plan.next_source(lacks(4)), Some(holder(1, 5)));
-    assert!(!plan.announce(holder(2, 7), lacks(4)));
-    assert!(!plan.announce(holder(3, 4), lacks(4)), "it has nothing");
-    assert!(!plan.announce(holder(4, 6), lacks(4)), "it has something older");
-    assert_eq!(plan.next_source(lacks(5)), Some(holder(2, 7)));
+    assert!(plan.announce(source(1, 5), needs(4)));
+    assert_eq!(plan.next_source(needs(4)), Some(source(1, 5)));
+    assert!(!plan.announce(source(2, 7), needs(4)));
+    assert!(!plan.announce(source(3, 4), needs(4)), "the peer holds nothing newer");
+    assert!(!plan.announce(source(4, 6), needs(4)), "the peer holds an older version");
+    assert_eq!(plan.next_source(needs(5)), Some(source(2, 7)));
 }
 
-/// A later revision can have the same content as what is held: there is nothing to fetch.
+/// A later revision with equal content needs no fetch.
 #[test]
-fn who_holds_the_same_at_a_later_revision_is_not_remembered_either() {
-    let lacks = |version: Version| version.revision > Revision(4) && version.digest != 9;
+fn source_with_equal_content_is_ignored() {
+    let needs = |version: Version| version.revision > Revision(4) && version.digest != 9;
     let mut plan = FetchPlan::default();
-    assert!(!plan.announce(holder(1, 9), lacks), "nothing begins");
-    assert!(plan.announce(holder(2, 5), lacks));
-    assert_eq!(plan.next_source(lacks), Some(holder(2, 5)));
-    assert!(!plan.announce(holder(3, 7), lacks));
-    assert!(!plan.announce(holder(4, 9), lacks));
-    assert_eq!(plan.next_source(lacks), Some(holder(3, 7)));
+    assert!(!plan.announce(source(1, 9), needs), "no fetch starts");
+    assert!(plan.announce(source(2, 5), needs));
+    assert_eq!(plan.next_source(needs), Some(source(2, 5)));
+    assert!(!plan.announce(source(3, 7), needs));
+    assert!(!plan.announce(source(4, 9), needs));
+    assert_eq!(plan.next_source(needs), Some(source(3, 7)));
 }
 
 #[test]
-fn a_fetch_that_is_given_up_keeps_nobody_from_the_next() {
+fn cancelled_fetch_does_not_block_the_next() {
     let mut plan = FetchPlan::default();
-    assert!(plan.announce(holder(1, 5), lacks(4)));
-    assert_eq!(plan.next_source(lacks(4)), Some(holder(1, 5)));
-    assert!(!plan.announce(holder(2, 7), lacks(4)));
+    assert!(plan.announce(source(1, 5), needs(4)));
+    assert_eq!(plan.next_source(needs(4)), Some(source(1, 5)));
+    assert!(!plan.announce(source(2, 7), needs(4)));
     plan.cancel();
-    assert!(plan.announce(holder(3, 6), lacks(4)));
-    assert_eq!(plan.next_source(lacks(4)), Some(holder(3, 6)));
+    assert!(plan.announce(source(3, 6), needs(4)));
+    assert_eq!(plan.next_source(needs(4)), Some(source(3, 6)));
 }
--- a/crates/bendhinge_fleet/tests/lists.rs
+++ b/crates/bendhinge_fleet/tests/lists.rs
@@ -1,4 +1,4 @@
-//! A list told as changes is the list that was meant.
+//! Tests that applying a list update yields the list of the sender.
 
 use std::sync::Arc;
 
@@ -30,9 +30,9 @@
     UpstreamList { entries: numbers.map(ready).collect(), drained: Vec::new() }
 }
 
-/// The list that a peer which holds `held` has after it was told `told`.
-fn after(held: &UpstreamList, told: &ListUpdate) -> UpstreamList {
-    match told {
+/// Returns the list of a peer that held `held` and received `update`.
+fn apply_update(held: &UpstreamList, update: &ListUpdate) -> UpstreamList {
+    match update {
         ListUpdate::Full(list) => list.clone(),
         ListUpdate::Delta { base, delta } => {
             assert_eq!(*base, held.digest());
@@ -41,7 +41,7 @@
     }
 }
 
-fn remembering(lists: &[&UpstreamList]) -> ListHistory {
+fn history_of(lists: &[&UpstreamList]) -> ListHistory {
     let mut history = ListHistory::default();
     for list in lists {
         history.push(list.digest(), &Arc::new((*list).clone()));
@@ -49,36 +49,36 @@
     history
 }
 
-/// A release of one of 250 upstreams is told in two entries, not in 250.
+/// A change of a single upstream out of 250 must not resend the whole list.
 #[test]
-fn a_small_change_is_told_in_few_entries() {
+fn small_change_yields_a_small_delta() {
     let before = list(0..250);
     let mut now = list(1..251);
     now.entries[6] = entry(7, 9_000, UpstreamState::Draining);
-    let history = remembering(&[&before, &now]);
-    let told = history.update_for(&now, Some(before.digest()));
-    let ListUpdate::Delta { delta, .. } = &told else { panic!("it is told whole") };
+    let history = history_of(&[&before, &now]);
+    let update = history.update_for(&now, Some(before.digest()));
+    let ListUpdate::Delta { delta, .. } = &update else { panic!("expected a delta") };
     assert_eq!((delta.removed.len(), delta.upserted.len()), (1, 2));
-    assert_eq!(after(&before, &told), now);
-    assert_eq!(after(&before, &told).digest(), now.digest());
+    assert_eq!(apply_update(&before, &update), now);
+    assert_eq!(apply_update(&before, &update).digest(), now.digest());
 }
 
 #[test]
-fn who_holds_an_unknown_list_or_none_is_told_all() {
+fn unknown_base_yields_the_full_list() {
     let (before, now) = (list(0..5), list(1..6));
-    let history = remembering(&[&now]);
+    let history = history_of(&[&now]);
     for base in [None, Some(before.digest())] {
         assert_eq!(history.update_for(&now, base), ListUpdate::Full(now.clone()));
     }
 }
 
 #[test]
-fn old_lists_are_forgotten_and_those_held_again_are_not() {
+fn old_lists_are_evicted_unless_held_again() {
     let lists: Vec<UpstreamList> = (0..40).map(|first| list(first..first + 3)).collect();
     let mut history = ListHistory::default();
     for held in &lists {
         history.push(held.digest(), &Arc::new(held.clone()));
-        // It flaps back each time.
+        // Alternate with the first list.
         history.push(lists[0].digest(), &Arc::new(lists[0].clone()));
     }
     let is_whole = |base: &UpstreamList| {
@@ -90,18 +90,18 @@
 }
 
 #[test]
-fn lists_that_follow_each_other_share_what_is_equal() {
+fn successive_lists_share_equal_entries() {
     let before = list(0..5);
     let now = list(1..6).share_entries_with(&before);
     assert_eq!(now, list(1..6));
     assert!(Arc::ptr_eq(&now.entries[0], &before.entries[1]));
 }
 
-/// Whatever comes, goes or changes.
+/// Random pairs of lists.
 #[test]
-fn changes_lead_to_the_list_that_was_meant() {
+fn delta_yields_the_new_list() {
     arbtest::arbtest(|random| {
-        let mut some = || {
+        let mut random_list = || {
             let mut entries = Vec::new();
             for number in 0..12 {
                 match random.int_in_range(0..=3)? {
@@ -113,41 +113,41 @@
             }
             Ok(UpstreamList { entries, drained: Vec::new() })
         };
-        let (before, now) = (some()?, some()?);
-        let history = remembering(&[&before]);
-        assert_eq!(after(&before, &history.update_for(&now, Some(before.digest()))), now);
+        let (before, now) = (random_list()?, random_list()?);
+        let history = history_of(&[&before]);
+        assert_eq!(apply_update(&before, &history.update_for(&now, Some(before.digest()))), now);
         Ok(())
     });
 }
 
 #[test]
-fn a_drained_data_centre_is_told_with_the_list_and_so_is_that_it_is_given_back() {
+fn delta_covers_draining_and_restoring_a_data_centre() {
     let usual = list(0..20);
     let drained = UpstreamList { drained: vec!["hall-1".parse().unwrap()], ..usual.clone() };
-    assert_ne!(usual.digest(), drained.digest(), "who holds the one lacks the other");
+    assert_ne!(usual.digest(), drained.digest(), "the two lists need different digests");
     let mut history = ListHistory::default();
     for list in [&usual, &drained] {
         history.push(list.digest(), &Arc::new(list.clone()));
     }
     for (held, current) in [(&usual, &drained), (&drained, &usual)] {
-        let told = history.update_for(current, Some(held.digest()));
-        assert!(matches!(&told, ListUpdate::Delta { delta, .. } if delta.upserted.is_empty()));
-        assert_eq!(after(held, &told), *current);
+        let update = history.update_for(current, Some(held.digest()));
+        assert!(matches!(&update, ListUpdate::Delta { delta, .. } if delta.upserted.is_empty()));
+        assert_eq!(apply_update(held, &update), *current);
     }
 }
 
-/// What the store wrote and removed is made in the list that is held; a new life takes the place of the one before.
+/// Store changes are applied to the held list, and a new incarnation replaces the previous one.
 #[test]
-fn a_list_follows_what_the_store_wrote_and_removed() {
+fn store_changes_are_applied_to_the_list() {
     let before = list(0..250);
     let name = |number: u32| ready(number).name.clone();
-    let again = UpstreamEntry { born: 7, hash: UpstreamEntry::life(&name(9), 7), ..(*ready(9)).clone() };
-    let came = vec![(*ready(300)).clone(), again.clone()];
+    let restarted = UpstreamEntry { born: 7, hash: UpstreamEntry::life(&name(9), 7), ..(*ready(9)).clone() };
+    let upserted = vec![(*ready(300)).clone(), restarted.clone()];
     let drained = vec!["hall-2".parse().unwrap()];
-    let after = before.with_store_changes(came, &[name(4), name(777)], drained.clone());
+    let updated = before.with_store_changes(upserted, &[name(4), name(777)], drained.clone());
     let mut expected: Vec<_> = (0..250).filter(|number| ![4, 9].contains(number)).map(ready).collect();
     expected.push(ready(300));
-    expected.push(Arc::new(again));
+    expected.push(Arc::new(restarted));
     expected.sort_by(|left, right| left.name.cmp(&right.name));
-    assert_eq!(after, UpstreamList { entries: expected, drained });
+    assert_eq!(updated, UpstreamList { entries: expected, drained });
 }
--- a/crates/bendhinge_fleet/tests/loads.rs
+++ b/crates/bendhinge_fleet/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Loads are told in two bytes each, never younger than they are.
+//! Tests the load estimates and the compact encoding of loads.
 
 use std::time::Duration;
 
@@ -7,91 +7,91 @@
 
 const NOW: Instant = Instant::from_millis(10_000);
 const SENDER: UpdateSource = UpdateSource::Router(NameHash(1));
-const LISTENER: UpdateSource = UpdateSource::Router(NameHash(2));
+const RECEIVER: UpdateSource = UpdateSource::Router(NameHash(2));
 
 fn listed(count: u64) -> impl ExactSizeIterator<Item = NameHash> {
     (0..usize::try_from(count).unwrap()).map(|number| NameHash(100 + number as u64))
 }
 
-fn said(upstream: u64, in_progress: u32, age_ms: u64) -> UpstreamLoad {
-    let at = NOW - Duration::from_millis(age_ms);
-    UpstreamLoad { upstream: NameHash(100 + upstream), in_progress, reported_at: at }
+fn reported_load(upstream: u64, in_progress: u32, age_ms: u64) -> UpstreamLoad {
+    let reported_at = NOW - Duration::from_millis(age_ms);
+    UpstreamLoad { upstream: NameHash(100 + upstream), in_progress, reported_at }
 }
 
-/// What the listener estimates of an upstream while others have nothing on average.
+/// Returns the estimate for an upstream with a mean load of other routers of zero.
 fn estimate(loads: &Loads, upstream: u64) -> f32 {
     loads.estimate(NameHash(100 + upstream), 0.0, NOW)
 }
 
 #[test]
-fn who_holds_the_same_list_estimates_the_same() {
-    let (mut loads, mut heard) = (Loads::default(), Loads::default());
+fn decoded_loads_yield_the_same_estimates() {
+    let (mut loads, mut received) = (Loads::default(), Loads::default());
     for (upstream, in_progress) in [(0, 3), (2, 17), (3, 0)] {
-        loads.record(said(upstream, in_progress, 120), UpdateSource::Local);
+        loads.record(reported_load(upstream, in_progress, 120), UpdateSource::Local);
     }
-    let states = loads.pack_all_for(LISTENER, listed(4), NOW);
-    assert_eq!(states.0.len(), 2 * 4);
-    heard.apply_all(&states, listed(4), SENDER, NOW);
+    let packed = loads.pack_all_for(RECEIVER, listed(4), NOW);
+    assert_eq!(packed.0.len(), 2 * 4);
+    received.apply_all(&packed, listed(4), SENDER, NOW);
     for upstream in 0..4 {
-        assert!((estimate(&heard, upstream) - estimate(&loads, upstream)).abs() < 0.01, "{upstream}");
+        assert!((estimate(&received, upstream) - estimate(&loads, upstream)).abs() < 0.01, "{upstream}");
     }
 }
 
 #[test]
-fn nobody_is_told_what_it_told_itself_nor_what_is_old() {
+fn reports_of_the_receiver_and_old_reports_are_left_out() {
     let mut loads = Loads::default();
-    loads.record(said(0, 5, 10), LISTENER);
-    loads.record(said(1, 6, 10), SENDER);
-    loads.record(said(2, 7, 2_600), SENDER);
-    let mut heard = Loads::default();
-    heard.apply_all(&loads.pack_all_for(LISTENER, listed(3), NOW), listed(3), SENDER, NOW);
-    let told: Vec<NameHash> = heard.recent_reports(NOW).iter().map(|said| said.upstream).collect();
-    assert_eq!(told, [NameHash(101)]);
+    loads.record(reported_load(0, 5, 10), RECEIVER);
+    loads.record(reported_load(1, 6, 10), SENDER);
+    loads.record(reported_load(2, 7, 2_600), SENDER);
+    let mut received = Loads::default();
+    received.apply_all(&loads.pack_all_for(RECEIVER, listed(3), NOW), listed(3), SENDER, NOW);
+    let upstreams: Vec<NameHash> = received.recent_reports(NOW).iter().map(|load| load.upstream).collect();
+    assert_eq!(upstreams, [NameHash(101)]);
 }
 
 #[test]
-fn loads_that_do_not_fit_into_a_byte_are_told_as_the_largest() {
-    let (mut loads, mut heard) = (Loads::default(), Loads::default());
-    loads.record(said(0, 3_000, 0), UpdateSource::Local);
-    heard.apply_all(&loads.pack_all_for(LISTENER, listed(1), NOW), listed(1), SENDER, NOW);
-    assert!((estimate(&heard, 0) - 254.0).abs() < 0.01);
+fn loads_above_one_byte_are_capped() {
+    let (mut loads, mut received) = (Loads::default(), Loads::default());
+    loads.record(reported_load(0, 3_000, 0), UpdateSource::Local);
+    received.apply_all(&loads.pack_all_for(RECEIVER, listed(1), NOW), listed(1), SENDER, NOW);
+    assert!((estimate(&received, 0) - 254.0).abs() < 0.01);
 }
 
 #[test]
-fn states_of_another_list_are_not_taken() {
+fn loads_of_another_list_are_ignored() {
     let mut loads = Loads::default();
-    loads.record(said(0, 5, 10), UpdateSource::Local);
-    let mut states = loads.pack_all_for(LISTENER, listed(3), NOW);
+    loads.record(reported_load(0, 5, 10), UpdateSource::Local);
+    let mut packed = loads.pack_all_for(RECEIVER, listed(3), NOW);
     for count in [2, 4] {
-        let mut heard = Loads::default();
-        heard.apply_all(&states, listed(count), SENDER, NOW);
-        assert_eq!(heard.recent_reports(NOW).len(), 0);
+        let mut received = Loads::default();
+        received.apply_all(&packed, listed(count), SENDER, NOW);
+        assert_eq!(received.recent_reports(NOW).len(), 0);
     }
-    states.0.pop();
-    let mut heard = Loads::default();
-    heard.apply_all(&states, listed(3), SENDER, NOW);
-    heard.apply_all(&PackedLoads::default(), listed(3), SENDER, NOW);
-    assert_eq!(heard.recent_reports(NOW).len(), 0);
+    packed.0.pop();
+    let mut received = Loads::default();
+    received.apply_all(&packed, listed(3), SENDER, NOW);
+    received.apply_all(&PackedLoads::default(), listed(3), SENDER, NOW);
+    assert_eq!(received.recent_reports(NOW).len(), 0);
 }
 
-/// On its way over many routers a report never looks younger than it is.
+/// Forwarding a report over several routers must not make it look more recent.
 #[test]
-fn a_report_never_looks_younger_on_its_way() {
+fn forwarding_never_makes_a_report_look_younger() {
     arbtest::arbtest(|random| {
         let (mut elapsed, age) = (random.int_in_range(0..=500)?, 40);
         let mut loads = Loads::default();
-        loads.record(said(0, 9, age), UpdateSource::Local);
+        loads.record(reported_load(0, 9, age), UpdateSource::Local);
         for _ in 0..random.int_in_range(1..=6)? {
             let now = NOW + Duration::from_millis(elapsed);
-            let states = loads.pack_all_for(LISTENER, listed(1), now);
-            let arrives = random.int_in_range(0..=300)?;
+            let packed = loads.pack_all_for(RECEIVER, listed(1), now);
+            let transit_ms = random.int_in_range(0..=300)?;
             loads = Loads::default();
-            // Counted from when it was asked for: that is before the states were made.
-            loads.apply_all(&states, listed(1), SENDER, now);
-            elapsed += arrives;
+            // Ages count from the time of the request, before the loads were encoded.
+            loads.apply_all(&packed, listed(1), SENDER, now);
+            elapsed += transit_ms;
             let truth = NOW - Duration::from_millis(age);
             assert!(
-                loads.recent_reports(now).iter().all(|said| said.reported_at <= truth),
+                loads.recent_reports(now).iter().all(|load| load.reported_at <= truth),
                 "{elapsed} ms later"
             );
         }
@@ -99,31 +99,33 @@
     });
 }
 
-/// What is left of a report of ten requests after a second, when requests last so long.
-fn left_after_a_second(lasted: Duration) -> f32 {
+/// Returns what remains of a report of ten requests after one second, given the duration of requests.
+fn remaining_after_a_second(duration: Duration) -> f32 {
     let mut loads = Loads::default();
-    loads.record(said(0, 10, 1_000), UpdateSource::Local);
+    loads.record(reported_load(0, 10, 1_000), UpdateSource::Local);
     for _ in 0..1_000 {
         loads.start_request(NameHash(100));
-        loads.end_request(NameHash(100), lasted);
+        loads.end_request(NameHash(100), duration);
     }
     estimate(&loads, 0)
 }
 
 #[test]
-fn a_report_fades_as_fast_as_requests_come_and_go() {
-    let (short, long) =
-        (left_after_a_second(Duration::from_millis(200)), left_after_a_second(Duration::from_secs(4)));
-    assert!(short < 0.1, "{short}: nobody is there any more who was there then");
-    assert!(long > 7.0, "{long}: most of them still are");
-    let hung = left_after_a_second(Duration::from_mins(1));
-    assert!(hung < 8.0, "{hung}: a request that hangs says nothing of the others");
+fn report_decays_with_the_duration_of_requests() {
+    let (short, long) = (
+        remaining_after_a_second(Duration::from_millis(200)),
+        remaining_after_a_second(Duration::from_secs(4)),
+    );
+    assert!(short < 0.1, "{short}: none of the reported requests is left");
+    assert!(long > 7.0, "{long}: most of the reported requests are left");
+    let hung = remaining_after_a_second(Duration::from_mins(1));
+    assert!(hung < 8.0, "{hung}: a hung request must not affect the decay");
 }
 
 #[test]
-fn requests_of_upstreams_that_say_nothing_of_their_load_do_not_count_for_those_that_do() {
+fn upstreams_without_reports_do_not_affect_the_decay() {
     let mut loads = Loads::default();
-    loads.record(said(0, 10, 1_000), UpdateSource::Local);
+    loads.record(reported_load(0, 10, 1_000), UpdateSource::Local);
     let before = estimate(&loads, 0);
     for _ in 0..1_000 {
         loads.start_request(NameHash(101));
@@ -132,39 +134,39 @@
     assert!((estimate(&loads, 0) - before).abs() < 0.01);
 }
 
-/// Pattern: thousands of upstreams, most of which have one request or none. What is told of them does not grow with
-/// their number, and the highest loads are told.
+/// With thousands of mostly idle upstreams, the message size stays constant and the highest loads are
+/// included.
 #[test]
-fn of_a_long_list_the_highest_loads_are_told() {
+fn highest_loads_of_a_long_list_are_encoded() {
     const HIGH: u64 = 40;
     let bytes = [2_000, 6_000, 12_000].map(|count| {
-        let (mut loads, mut heard) = (Loads::default(), Loads::default());
+        let (mut loads, mut received) = (Loads::default(), Loads::default());
         for upstream in 0..count {
             let in_progress = if upstream % (count / HIGH) == 7 { 9 } else { 1 };
-            loads.record(said(upstream, in_progress, 120), UpdateSource::Local);
+            loads.record(reported_load(upstream, in_progress, 120), UpdateSource::Local);
         }
-        let told = loads.pack_highest_for(LISTENER, listed(count), NOW);
-        let hash = |place: usize| listed(count).nth(place);
-        heard.apply_highest(&told, hash, SENDER, NOW);
-        let high = heard.recent_reports(NOW).iter().filter(|said| said.in_progress == 9).count();
+        let encoded = loads.pack_highest_for(RECEIVER, listed(count), NOW);
+        let hash_at = |index: usize| listed(count).nth(index);
+        received.apply_highest(&encoded, hash_at, SENDER, NOW);
+        let high = received.recent_reports(NOW).iter().filter(|load| load.in_progress == 9).count();
         assert_eq!(high as u64, HIGH, "of {count}");
         assert!(
-            heard
+            received
                 .recent_reports(NOW)
                 .iter()
-                .all(|said| NOW.since(said.reported_at) >= Duration::from_millis(120))
+                .all(|load| NOW.since(load.reported_at) >= Duration::from_millis(120))
         );
-        told.0.len()
+        encoded.0.len()
     });
     assert_eq!(bytes[0], bytes[2]);
     assert!(bytes[2] <= 1_024, "{bytes:?}");
 }
 
 #[test]
-fn high_loads_of_places_that_are_not_listed_are_not_taken() {
-    let mut heard = Loads::default();
-    let told = PackedHighLoads(vec![0, 1, 5, 0, 0, 9, 5, 0, 0, 0]);
-    heard.apply_highest(&told, |place| listed(3).nth(place), SENDER, NOW);
-    let upstreams: Vec<NameHash> = heard.recent_reports(NOW).iter().map(|said| said.upstream).collect();
+fn loads_at_unknown_list_indices_are_ignored() {
+    let mut received = Loads::default();
+    let encoded = PackedHighLoads(vec![0, 1, 5, 0, 0, 9, 5, 0, 0, 0]);
+    received.apply_highest(&encoded, |index| listed(3).nth(index), SENDER, NOW);
+    let upstreams: Vec<NameHash> = received.recent_reports(NOW).iter().map(|load| load.upstream).collect();
     assert_eq!(upstreams, [NameHash(101)]);
 }
--- a/crates/bendhinge_fleet/tests/peers.rs
+++ b/crates/bendhinge_fleet/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What is remembered of peers ends with their lives.
+//! Tests that the state kept for a peer is bound to its incarnation and expires.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,48 +7,52 @@
 use bendhinge_ids::Instant;
 
 const PEER: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::new(10, 0, 0, 1)), 7_000);
-const FIRST_LIFE: Option<RouterIncarnation> = Some(RouterIncarnation(11));
-const SECOND_LIFE: Option<RouterIncarnation> = Some(RouterIncarnation(12));
+const FIRST_INCARNATION: Option<RouterIncarnation> = Some(RouterIncarnation(11));
+const SECOND_INCARNATION: Option<RouterIncarnation> = Some(RouterIncarnation(12));
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(millis)
 }
 
-fn said(life: Option<RouterIncarnation>) -> PeerSummary {
+fn summary(incarnation: Option<RouterIncarnation>) -> PeerSummary {
     PeerSummary {
-        incarnation: life,
+        incarnation,
         roster_digest: RosterDigest(1),
         upstream_list_digest: Some(2),
         quarantine_digest: 0,
     }
 }
 
-fn states() -> PeerStates {
+fn peer_states() -> PeerStates {
     PeerStates::new(Duration::from_secs(20))
 }
 
 #[test]
-fn a_new_life_was_told_nothing_and_told_nothing() {
-    let mut peers = states();
-    peers.record_summary(PEER, said(FIRST_LIFE), at(0));
-    peers.record_acknowledged(PEER, FIRST_LIFE, 40);
+fn new_incarnation_resets_positions() {
+    let mut peers = peer_states();
+    peers.record_summary(PEER, summary(FIRST_INCARNATION), at(0));
+    peers.record_acknowledged(PEER, FIRST_INCARNATION, 40);
     peers.record_received(PEER, LogPosition { incarnation: RouterIncarnation(11), sequence: 7 });
-    peers.record_summary(PEER, said(FIRST_LIFE), at(400));
+    peers.record_summary(PEER, summary(FIRST_INCARNATION), at(400));
     assert_eq!(peers.get(PEER).unwrap().acknowledged, Some(40));
     assert_eq!(peers.get(PEER).unwrap().received.unwrap().sequence, 7);
-    peers.record_summary(PEER, said(SECOND_LIFE), at(800));
+    peers.record_summary(PEER, summary(SECOND_INCARNATION), at(800));
     assert_eq!(peers.get(PEER).unwrap().acknowledged, None);
     assert_eq!(peers.get(PEER).unwrap().received, None);
-    peers.record_acknowledged(PEER, FIRST_LIFE, 50);
-    assert_eq!(peers.get(PEER).unwrap().acknowledged, None, "an answer of the life before comes late");
+    peers.record_acknowledged(PEER, FIRST_INCARNATION, 50);
+    assert_eq!(
+        peers.get(PEER).unwrap().acknowledged,
+        None,
+        "a late response of the previous incarnation is ignored"
+    );
 }
 
 #[test]
-fn answers_that_overtake_each_other_take_nothing_back() {
-    let mut peers = states();
-    peers.record_summary(PEER, said(FIRST_LIFE), at(0));
-    peers.record_acknowledged(PEER, FIRST_LIFE, 40);
-    peers.record_acknowledged(PEER, FIRST_LIFE, 30);
+fn reordered_responses_do_not_move_positions_back() {
+    let mut peers = peer_states();
+    peers.record_summary(PEER, summary(FIRST_INCARNATION), at(0));
+    peers.record_acknowledged(PEER, FIRST_INCARNATION, 40);
+    peers.record_acknowledged(PEER, FIRST_INCARNATION, 30);
     assert_eq!(peers.get(PEER).unwrap().acknowledged, Some(40));
     peers.record_received(PEER, LogPosition { incarnation: RouterIncarnation(11), sequence: 7 });
     peers.record_received(PEER, LogPosition { incarnation: RouterIncarnation(11), sequence: 5 });
@@ -56,9 +60,9 @@
 }
 
 #[test]
-fn who_was_not_talked_to_for_long_is_forgotten() {
-    let mut peers = states();
-    peers.record_summary(PEER, said(FIRST_LIFE), at(0));
+fn idle_peer_is_evicted() {
+    let mut peers = peer_states();
+    peers.record_summary(PEER, summary(FIRST_INCARNATION), at(0));
     peers.evict_idle(at(19_000));
     assert!(peers.get(PEER).is_some());
     peers.evict_idle(at(21_000));
--- a/crates/bendhinge_fleet/tests/replica.rs
+++ b/crates/bendhinge_fleet/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Beliefs never go back, and never claim to be younger than they are.
+//! Tests that a replica never returns to an older revision and never understates its age.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,100 +15,107 @@
 }
 
 #[test]
-fn nothing_is_believed_at_first() {
-    let belief = Replica::<u64>::default();
-    assert_eq!(belief.age(at(5)), None);
-    assert!(!belief.is_fresh(Duration::MAX, at(5)));
-    assert!(belief.needs(version(1)));
-    assert!(!belief.needs(Version::default()));
+fn replica_is_empty_at_first() {
+    let replica = Replica::<u64>::default();
+    assert_eq!(replica.age(at(5)), None);
+    assert!(!replica.is_fresh(Duration::MAX, at(5)));
+    assert!(replica.needs(version(1)));
+    assert!(!replica.needs(Version::default()));
 }
 
 #[test]
-fn an_older_revision_is_not_taken() {
-    let mut belief = Replica::default();
-    assert_eq!(belief.update(version(7), at(10), || Arc::new(7)), UpdateOutcome::Updated);
-    assert_eq!(belief.update(version(6), at(20), || Arc::new(6)), UpdateOutcome::Stale);
-    assert_eq!(belief.value(), Some(&Arc::new(7)));
-    assert_eq!(belief.age(at(30)), Some(Duration::from_millis(20)), "an old value confirms nothing");
+fn older_revision_is_rejected() {
+    let mut replica = Replica::default();
+    assert_eq!(replica.update(version(7), at(10), || Arc::new(7)), UpdateOutcome::Updated);
+    assert_eq!(replica.update(version(6), at(20), || Arc::new(6)), UpdateOutcome::Stale);
+    assert_eq!(replica.value(), Some(&Arc::new(7)));
+    assert_eq!(
+        replica.age(at(30)),
+        Some(Duration::from_millis(20)),
+        "a stale value does not refresh the replica"
+    );
 }
 
 #[test]
-fn only_what_is_held_is_confirmed() {
-    let mut belief = Replica::default();
-    belief.update(version(7), at(10), || Arc::new(7));
-    assert_eq!(belief.confirm(version(8), at(50)), UpdateOutcome::Stale);
-    assert_eq!(belief.age(at(50)), Some(Duration::from_millis(40)));
-    assert_eq!(belief.confirm(version(7), at(40)), UpdateOutcome::Confirmed);
+fn only_the_held_version_is_confirmed() {
+    let mut replica = Replica::default();
+    replica.update(version(7), at(10), || Arc::new(7));
+    assert_eq!(replica.confirm(version(8), at(50)), UpdateOutcome::Stale);
+    assert_eq!(replica.age(at(50)), Some(Duration::from_millis(40)));
+    assert_eq!(replica.confirm(version(7), at(40)), UpdateOutcome::Confirmed);
     assert_eq!(
-        belief.confirm(version(7), at(20)),
+        replica.confirm(version(7), at(20)),
         UpdateOutcome::Stale,
-        "an older word does not make it older"
+        "an earlier confirmation does not increase the age"
     );
-    assert_eq!(belief.age(at(50)), Some(Duration::from_millis(10)));
+    assert_eq!(replica.age(at(50)), Some(Duration::from_millis(10)));
 }
 
 #[test]
-fn equal_content_at_a_later_revision_is_no_new_value() {
-    let mut belief = Replica::default();
+fn equal_content_at_a_later_revision_is_only_a_confirmation() {
+    let mut replica = Replica::default();
     let at_revision = |revision| Version { revision: Revision(revision), digest: 1 };
-    belief.update(at_revision(3), at(10), || Arc::new(1));
-    assert_eq!(belief.update(at_revision(9), at(20), || Arc::new(1)), UpdateOutcome::Confirmed);
-    assert!(!belief.needs(at_revision(12)));
+    replica.update(at_revision(3), at(10), || Arc::new(1));
+    assert_eq!(replica.update(at_revision(9), at(20), || Arc::new(1)), UpdateOutcome::Confirmed);
+    assert!(!replica.needs(at_revision(12)));
     assert_eq!(
-        belief.update(version(8), at(30), || Arc::new(8)),
+        replica.update(version(8), at(30), || Arc::new(8)),
         UpdateOutcome::Stale,
-        "9 was current before"
+        "revision 9 has already been confirmed"
     );
 }
 
-/// Routers read a changing store and each other over delays of any length, freezes included. The
-/// oracle is the store's history: what a router holds was current at its `as_of`, and no router
-/// goes back.
+/// Model test: routers read a changing store and each other with arbitrary delays. Checks against the
+/// history of the store that each held value was current at its `as_of`, and that no replica moves back
+/// to an older revision.
 #[test]
-fn what_is_held_was_current_when_it_says() {
+fn held_value_was_current_as_of_the_stated_time() {
     arbtest::arbtest(|source| {
         let routers = source.int_in_range(1..=4)?;
-        let mut beliefs: Vec<Replica<u64>> = (0..routers).map(|_| Replica::default()).collect();
-        // The instant from which each revision was current; revisions count from 1.
+        let mut replicas: Vec<Replica<u64>> = (0..routers).map(|_| Replica::default()).collect();
+        // Time from which each revision is current. Revisions count from 1.
         let mut changes = vec![0_u64];
         let mut now = 1_u64;
         for _ in 0..source.int_in_range(1..=60)? {
             now += source.int_in_range(0..=400)?;
             let router = source.choose_index(routers)?;
-            let before = beliefs[router].version().revision;
+            let before = replicas[router].version().revision;
             match source.int_in_range(0..=3)? {
                 0 => changes.push(now),
                 1 => {
-                    let began = now;
+                    let read_started_at = now;
                     now += source.int_in_range(0..=900)?;
                     let current = changes.len() as u64;
-                    beliefs[router].update(version(current), at(began), || Arc::new(current));
+                    replicas[router].update(version(current), at(read_started_at), || Arc::new(current));
                 }
                 _ => {
                     let other = source.choose_index(routers)?;
-                    let asked = now;
+                    let requested_at = now;
                     now += source.int_in_range(0..=900)?;
-                    let told = beliefs[other].current().cloned();
-                    let answered = now;
+                    let response = replicas[other].current().cloned();
+                    let answered_at = now;
                     now += source.int_in_range(0..=900)?;
-                    if let Some(told) = told {
-                        let age = at(answered).since(told.as_of);
-                        let as_of = at(asked) - age;
-                        beliefs[router].confirm(told.version, as_of);
-                        if beliefs[router].needs(told.version) {
-                            beliefs[router].update(told.version, as_of, || told.value);
+                    if let Some(response) = response {
+                        let age = at(answered_at).since(response.as_of);
+                        let as_of = at(requested_at) - age;
+                        replicas[router].confirm(response.version, as_of);
+                        if replicas[router].needs(response.version) {
+                            replicas[router].update(response.version, as_of, || response.value);
                         }
                     }
                 }
             }
-            assert!(beliefs[router].version().revision >= before, "it went back");
-            for held in beliefs.iter().filter_map(Replica::current) {
+            assert!(
+                replicas[router].version().revision >= before,
+                "the replica returned to an older revision"
+            );
+            for held in replicas.iter().filter_map(Replica::current) {
                 let index = usize::try_from(held.version.revision.0).unwrap() - 1;
-                let was_replaced_by = changes.get(index + 1);
+                let replaced_at = changes.get(index + 1);
                 assert!(at(changes[index]) <= at(now));
                 assert!(
-                    was_replaced_by.is_none_or(|replaced| held.as_of <= at(*replaced)),
-                    "{held:?} was replaced at {was_replaced_by:?} ms"
+                    replaced_at.is_none_or(|replaced| held.as_of <= at(*replaced)),
+                    "{held:?} was replaced at {replaced_at:?} ms"
                 );
             }
         }
--- a/crates/bendhinge_fleet/tests/roster.rs
+++ b/crates/bendhinge_fleet/tests/roster.rs
@@ -1,4 +1,4 @@
-//! Routers find each other from a few seeds, and again after cuts, kills and replacements.
+//! Tests that routers discover each other from a few seeds, and again after partitions and restarts.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 use bendhinge_fleet::{MemberReport, Origin, Reach, Roster, RosterTimeouts};
 use bendhinge_ids::Instant;
 
-const LIMITS: RosterTimeouts =
+const TIMEOUTS: RosterTimeouts =
     RosterTimeouts { dead_after: Duration::from_secs(3), expire_after: Duration::from_secs(60) };
-/// All links are alike, but where a test says otherwise.
+/// Link speed of all routers unless a test sets another.
 const LINK_MBPS: u32 = 1_000;
 const ROUND_MS: u64 = 400;
 
@@ -17,26 +17,26 @@
     SocketAddr::from(([10, 0, 0, u8::try_from(number).unwrap()], 7_000))
 }
 
-/// Routers in virtual time; a router that is down keeps no state.
+/// Simulated routers in virtual time. A router that is down loses its state.
 struct Fleet {
     rosters: Vec<Option<Roster>>,
-    side: Vec<usize>,
+    partition: Vec<usize>,
     now: u64,
-    draws: u64,
+    random_state: u64,
 }
 
 impl Fleet {
     fn new(size: usize, seeds: &[SocketAddr]) -> Self {
         let rosters =
-            (0..size).map(|number| Some(Roster::new(address(number), LINK_MBPS, seeds, LIMITS))).collect();
-        Self { rosters, side: vec![0; size], now: 1_000, draws: 1 }
+            (0..size).map(|number| Some(Roster::new(address(number), LINK_MBPS, seeds, TIMEOUTS))).collect();
+        Self { rosters, partition: vec![0; size], now: 1_000, random_state: 1 }
     }
 
     fn restart(&mut self, number: usize, seeds: &[SocketAddr]) {
-        self.rosters[number] = Some(Roster::new(address(number), LINK_MBPS, seeds, LIMITS));
+        self.rosters[number] = Some(Roster::new(address(number), LINK_MBPS, seeds, TIMEOUTS));
     }
 
-    fn message(&self, number: usize, now: Instant) -> Vec<MemberReport> {
+    fn reports(&self, number: usize, now: Instant) -> Vec<MemberReport> {
         let roster = self.rosters[number].as_ref().unwrap();
         let own = MemberReport {
             address: address(number),
@@ -51,14 +51,15 @@
     fn round(&mut self) {
         self.now += ROUND_MS;
         let now = Instant::from_millis(self.now);
-        for asking in 0..self.rosters.len() {
-            let draws = &mut self.draws;
+        for requester in 0..self.rosters.len() {
+            let random_state = &mut self.random_state;
             let mut draw = |below: usize| {
-                *draws =
-                    draws.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-                usize::try_from(*draws >> 33).unwrap() % below
+                *random_state = random_state
+                    .wrapping_mul(6_364_136_223_846_793_005)
+                    .wrapping_add(1_442_695_040_888_963_407);
+                usize::try_from(*random_state >> 33).unwrap() % below
             };
-            let Some(roster) = &self.rosters[asking] else { continue };
+            let Some(roster) = &self.rosters[requester] else { continue };
             let reach = if (self.now / ROUND_MS).is_multiple_of(4) {
                 Reach::RelayAndRandom
             } else {
@@ -67,19 +68,21 @@
             let mut contacts = roster.contacts(reach, false, now, &mut draw);
             contacts.extend(roster.reconnect_contact(now, &mut draw));
             for contact in contacts {
-                self.exchange(asking, contact.address(), now);
+                self.exchange(requester, contact.address(), now);
             }
         }
     }
 
-    fn exchange(&mut self, asking: usize, asked: SocketAddr, now: Instant) {
-        let Some(asked) = (0..self.rosters.len()).find(|number| address(*number) == asked) else { return };
-        if self.rosters[asked].is_none() || self.side[asking] != self.side[asked] {
+    fn exchange(&mut self, requester: usize, responder: SocketAddr, now: Instant) {
+        let Some(responder) = (0..self.rosters.len()).find(|number| address(*number) == responder) else {
+            return;
+        };
+        if self.rosters[responder].is_none() || self.partition[requester] != self.partition[responder] {
             return;
         }
-        for (from, to) in [(asking, asked), (asked, asking)] {
-            for heard in self.message(from, now) {
-                self.rosters[to].as_mut().unwrap().merge_direct(&heard, now);
+        for (from, to) in [(requester, responder), (responder, requester)] {
+            for report in self.reports(from, now) {
+                self.rosters[to].as_mut().unwrap().merge_direct(&report, now);
             }
         }
     }
@@ -93,39 +96,39 @@
         self.rosters.iter().flatten().map(|roster| roster.live_count(now)).collect()
     }
 
-    /// How many believe to be the first in rank.
-    fn firsts(&self) -> usize {
+    /// Returns the number of routers that consider themselves first in rank.
+    fn first_rank_count(&self) -> usize {
         let now = Instant::from_millis(self.now);
         self.rosters.iter().flatten().filter(|roster| roster.own_rank(false, now) == 0).count()
     }
 }
 
-/// A roster that has heard from all members just now.
-fn knowing_all(own: usize, size: usize, now: Instant) -> Roster {
-    let mut roster = Roster::new(address(own), LINK_MBPS, &[], LIMITS);
+/// Returns a roster that has just heard from all members.
+fn fully_connected_roster(own: usize, size: usize, now: Instant) -> Roster {
+    let mut roster = Roster::new(address(own), LINK_MBPS, &[], TIMEOUTS);
     for other in (0..size).filter(|other| *other != own) {
-        let heard = MemberReport {
+        let report = MemberReport {
             address: address(other),
             age: Duration::ZERO,
             is_leaving: false,
             is_store_failing: false,
             link_mbps: LINK_MBPS,
         };
-        roster.merge_direct(&heard, now);
+        roster.merge_direct(&report, now);
     }
     roster
 }
 
 #[test]
-fn all_find_each_other_from_one_live_seed_among_stale_ones() {
+fn one_live_seed_among_stale_ones_is_enough() {
     let mut fleet = Fleet::new(9, &[address(200), address(4), address(201)]);
     fleet.rounds(12);
     assert_eq!(fleet.live_counts(), vec![9; 9]);
-    assert_eq!(fleet.firsts(), 1);
+    assert_eq!(fleet.first_rank_count(), 1);
 }
 
 #[test]
-fn the_killed_are_dead_after_a_while_and_found_again_after_a_restart() {
+fn killed_members_expire_and_are_found_again_after_a_restart() {
     let mut fleet = Fleet::new(6, &[address(0)]);
     fleet.rounds(10);
     fleet.rosters[0] = None;
@@ -138,49 +141,49 @@
 }
 
 #[test]
-fn two_parts_that_were_cut_apart_merge_again_without_a_seed() {
+fn partitions_merge_again_without_seeds() {
     let mut fleet = Fleet::new(8, &[address(0)]);
     fleet.rounds(12);
     for roster in fleet.rosters.iter_mut().flatten() {
         roster.set_seeds(&[]);
     }
-    (0..4).for_each(|number| fleet.side[number] = 1);
+    (0..4).for_each(|number| fleet.partition[number] = 1);
     fleet.rounds(40);
     assert_eq!(fleet.live_counts(), vec![4; 8]);
-    assert_eq!(fleet.firsts(), 2, "each part has one that reads");
-    fleet.side = vec![0; 8];
+    assert_eq!(fleet.first_rank_count(), 2, "each partition has a first rank");
+    fleet.partition = vec![0; 8];
     fleet.rounds(20);
     assert_eq!(fleet.live_counts(), vec![8; 8]);
-    assert_eq!(fleet.firsts(), 1);
+    assert_eq!(fleet.first_rank_count(), 1);
 }
 
 #[test]
-fn one_that_leaves_is_live_no_more_at_once() {
-    let mut roster = Roster::new(address(0), LINK_MBPS, &[], LIMITS);
+fn leaving_member_is_not_live() {
+    let mut roster = Roster::new(address(0), LINK_MBPS, &[], TIMEOUTS);
     let now = Instant::from_millis(10_000);
-    let mut heard = MemberReport {
+    let mut report = MemberReport {
         address: address(1),
         age: Duration::from_millis(500),
         is_leaving: false,
         is_store_failing: false,
         link_mbps: LINK_MBPS,
     };
-    roster.merge_direct(&heard, now);
+    roster.merge_direct(&report, now);
     assert_eq!(roster.live_count(now), 2);
-    heard.is_leaving = true;
-    heard.age = Duration::from_millis(100);
-    roster.merge_direct(&heard, now);
+    report.is_leaving = true;
+    report.age = Duration::from_millis(100);
+    roster.merge_direct(&report, now);
     assert_eq!(roster.live_count(now), 1);
-    heard.is_leaving = false;
-    heard.age = Duration::from_millis(400);
-    roster.merge_direct(&heard, now);
-    assert_eq!(roster.live_count(now), 1, "older message does not undo newer");
+    report.is_leaving = false;
+    report.age = Duration::from_millis(400);
+    roster.merge_direct(&report, now);
+    assert_eq!(roster.live_count(now), 1, "an older report does not override a newer one");
 }
 
 #[test]
-fn those_whose_reads_fail_come_last_in_rank() {
+fn members_with_failing_reads_rank_last() {
     let now = Instant::from_millis(10_000);
-    let mut roster = Roster::new(address(0), LINK_MBPS, &[], LIMITS);
+    let mut roster = Roster::new(address(0), LINK_MBPS, &[], TIMEOUTS);
     for number in 1..5 {
         roster.merge_direct(
             &MemberReport {
@@ -197,121 +200,124 @@
     assert!(roster.own_rank(true, now) <= 4);
 }
 
-/// In a large fleet nobody is asked for what it hears of the store by all others.
+/// No router may serve as relay for all others in a large fleet.
 #[test]
-fn nobody_is_asked_by_all_in_a_large_fleet() {
+fn relays_are_spread_in_a_large_fleet() {
     let size = 74;
     let now = Instant::from_millis(10_000);
-    let mut asked = vec![0_usize; size];
+    let mut use_counts = vec![0_usize; size];
     for own in 0..size {
-        let roster = knowing_all(own, size, now);
-        let mut drawn = own as u64;
+        let roster = fully_connected_roster(own, size, now);
+        let mut random_state = own as u64;
         let mut draw = |below: usize| {
-            drawn = drawn.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-            usize::try_from(drawn >> 33).unwrap() % below
+            random_state =
+                random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            usize::try_from(random_state >> 33).unwrap() % below
         };
-        let reader = roster.contacts(Reach::RelayOnly, false, now, &mut draw)[0].address();
-        let number = (0..size).find(|number| address(*number) == reader).unwrap();
-        asked[number] += 1;
+        let relay = roster.contacts(Reach::RelayOnly, false, now, &mut draw)[0].address();
+        let number = (0..size).find(|number| address(*number) == relay).unwrap();
+        use_counts[number] += 1;
     }
-    assert!(*asked.iter().max().unwrap() <= 12, "{asked:?}");
+    assert!(*use_counts.iter().max().unwrap() <= 12, "{use_counts:?}");
 }
 
-/// Every connection costs memory at both ends, so a router asks few different members.
+/// Each connection costs memory at both ends, so a router contacts few different members.
 #[test]
-fn a_router_asks_few_different_members() {
+fn router_contacts_few_different_members() {
     let size = 74;
     let now = Instant::from_millis(10_000);
-    let mut asked = vec![HashSet::new(); size];
-    for (own, asked) in asked.iter_mut().enumerate() {
-        let roster = knowing_all(own, size, now);
-        let mut drawn = own;
+    let mut contacted = vec![HashSet::new(); size];
+    for (own, contacted) in contacted.iter_mut().enumerate() {
+        let roster = fully_connected_roster(own, size, now);
+        let mut random_state = own;
         let mut draw = |below: usize| {
-            drawn = drawn.wrapping_mul(7_919).wrapping_add(17);
-            (drawn >> 5) % below
+            random_state = random_state.wrapping_mul(7_919).wrapping_add(17);
+            (random_state >> 5) % below
         };
-        // Twelve rounds are what a connection is kept for.
+        // Rounds for which an idle connection is kept.
         for round in 0..12 {
             let reach = if round % 4 == 0 { Reach::RelayAndRandom } else { Reach::RelayOnly };
-            asked.extend(roster.contacts(reach, false, now, &mut draw).iter().map(|one| one.address()));
+            contacted.extend(
+                roster.contacts(reach, false, now, &mut draw).iter().map(|contact| contact.address()),
+            );
         }
     }
-    let open: usize = asked.iter().map(HashSet::len).sum();
-    assert!(open < 10 * size, "{open} connections of {size} routers");
+    let connection_count: usize = contacted.iter().map(HashSet::len).sum();
+    assert!(connection_count < 10 * size, "{connection_count} connections of {size} routers");
 }
 
-/// News that one router has reaches all, and nearly nobody is told of it twice.
+/// An update must reach all routers, with few duplicate messages.
 #[test]
-fn news_reaches_all_in_few_words() {
+fn update_reaches_all_with_few_messages() {
     for size in [2, 6, 24, 25, 74, 200] {
         let now = Instant::from_millis(10_000);
-        let rosters: Vec<Roster> = (0..size).map(|own| knowing_all(own, size, now)).collect();
+        let rosters: Vec<Roster> = (0..size).map(|own| fully_connected_roster(own, size, now)).collect();
         for reader in [0, size / 2, size - 1] {
-            let mut has_news = vec![false; size];
-            has_news[reader] = true;
-            let (mut telling, mut messages) = (vec![(reader, Origin::Store)], 0);
-            while let Some((sender, origin)) = telling.pop() {
-                for listener in rosters[sender].push_targets(origin, false, now) {
+            let mut has_update = vec![false; size];
+            has_update[reader] = true;
+            let (mut pending_senders, mut messages) = (vec![(reader, Origin::Store)], 0);
+            while let Some((sender, origin)) = pending_senders.pop() {
+                for receiver in rosters[sender].push_targets(origin, false, now) {
                     messages += 1;
-                    let listener = (0..size).find(|number| address(*number) == listener).unwrap();
-                    if !std::mem::replace(&mut has_news[listener], true) {
-                        telling.push((listener, Origin::Peer));
+                    let receiver = (0..size).find(|number| address(*number) == receiver).unwrap();
+                    if !std::mem::replace(&mut has_update[receiver], true) {
+                        pending_senders.push((receiver, Origin::Peer));
                     }
                 }
             }
-            assert!(has_news.iter().all(|has| *has), "of {size}, from {reader}");
-            // Who reads without being the first makes sure that all hear.
-            let most = if rosters[reader].own_rank(false, now) == 0 { 2 * size } else { 3 * size };
-            assert!(messages <= most, "{messages} messages of {size}, from {reader}");
+            assert!(has_update.iter().all(|has| *has), "of {size}, from {reader}");
+            // A reader other than the first rank also pushes to the members served by the first rank.
+            let max_messages = if rosters[reader].own_rank(false, now) == 0 { 2 * size } else { 3 * size };
+            assert!(messages <= max_messages, "{messages} messages of {size}, from {reader}");
         }
     }
 }
 
-/// The first in rank is dead, and nobody knows it yet: another that reads reaches the others.
+/// An update must reach all routers while a dead first rank is not yet detected.
 #[test]
-fn news_reaches_all_though_the_first_in_rank_is_dead() {
+fn update_reaches_all_despite_a_dead_first_rank() {
     for size in [3, 9, 24, 25, 74] {
         let now = Instant::from_millis(10_000);
-        let rosters: Vec<Roster> = (0..size).map(|own| knowing_all(own, size, now)).collect();
-        let place = |own: usize| rosters[own].own_rank(false, now);
-        let dead = (0..size).find(|own| place(*own) == 0).unwrap();
-        let reader = (0..size).find(|own| place(*own) == 1).unwrap();
-        let mut has_news = vec![false; size];
-        has_news[reader] = true;
-        let mut telling = vec![(reader, Origin::Store)];
-        while let Some((sender, origin)) = telling.pop() {
-            for listener in rosters[sender].push_targets(origin, false, now) {
-                let listener = (0..size).find(|number| address(*number) == listener).unwrap();
-                if listener != dead && !std::mem::replace(&mut has_news[listener], true) {
-                    telling.push((listener, Origin::Peer));
+        let rosters: Vec<Roster> = (0..size).map(|own| fully_connected_roster(own, size, now)).collect();
+        let rank_of = |own: usize| rosters[own].own_rank(false, now);
+        let dead = (0..size).find(|own| rank_of(*own) == 0).unwrap();
+        let reader = (0..size).find(|own| rank_of(*own) == 1).unwrap();
+        let mut has_update = vec![false; size];
+        has_update[reader] = true;
+        let mut pending_senders = vec![(reader, Origin::Store)];
+        while let Some((sender, origin)) = pending_senders.pop() {
+            for receiver in rosters[sender].push_targets(origin, false, now) {
+                let receiver = (0..size).find(|number| address(*number) == receiver).unwrap();
+                if receiver != dead && !std::mem::replace(&mut has_update[receiver], true) {
+                    pending_senders.push((receiver, Origin::Peer));
                 }
             }
         }
-        let without = (0..size).filter(|own| !has_news[*own] && *own != dead).count();
-        assert_eq!(without, 0, "of {size}");
+        let uninformed_count = (0..size).filter(|own| !has_update[*own] && *own != dead).count();
+        assert_eq!(uninformed_count, 0, "of {size}");
     }
 }
 
 #[test]
-fn wide_links_come_before_narrow_ones_and_reads_that_fail_after_both() {
-    const WIDE: u32 = 200;
+fn faster_links_rank_first_and_failing_reads_last() {
+    const FAST_LINK_MBPS: u32 = 200;
     let now = Instant::from_millis(10_000);
     let rank = |own: u32, own_reads_fail: bool, others: [u32; 3]| {
-        let mut roster = Roster::new(address(0), own, &[], LIMITS);
+        let mut roster = Roster::new(address(0), own, &[], TIMEOUTS);
         for (number, link_mbps) in (1..).zip(others) {
-            let heard = MemberReport {
+            let report = MemberReport {
                 address: address(number),
                 age: Duration::ZERO,
                 is_leaving: false,
                 is_store_failing: false,
                 link_mbps,
             };
-            roster.merge_direct(&heard, now);
+            roster.merge_direct(&report, now);
         }
         roster.own_rank(own_reads_fail, now)
     };
-    assert_eq!(rank(WIDE, false, [10, 10, 0]), 0);
-    assert_eq!(rank(10, false, [WIDE, WIDE, WIDE]), 3);
-    assert_eq!(rank(10, false, [0, 0, 0]), 0, "what is not known counts as narrow");
-    assert_eq!(rank(WIDE, true, [10, 10, 10]), 3);
+    assert_eq!(rank(FAST_LINK_MBPS, false, [10, 10, 0]), 0);
+    assert_eq!(rank(10, false, [FAST_LINK_MBPS, FAST_LINK_MBPS, FAST_LINK_MBPS]), 3);
+    assert_eq!(rank(10, false, [0, 0, 0]), 0, "an unknown link speed counts as slow");
+    assert_eq!(rank(FAST_LINK_MBPS, true, [10, 10, 10]), 3);
 }
--- a/crates/bendhinge_fleet/tests/store_read_fanout.rs
+++ b/crates/bendhinge_fleet/tests/store_read_fanout.rs
@@ -1,7 +1,8 @@
-//! A fleet that starts all at once, before a list of upstreams that takes long to read.
+//! Simulates the simultaneous start of a whole fleet with an upstream list that takes long to read.
 //!
-//! Pattern: after a loss of all, hundreds of routers know three seeds each and nobody's rank. Each reads the first page;
-//! how many of them read on must not grow with the fleet, since all of them share the store's link.
+//! After a total loss, hundreds of routers start with three seeds and without known ranks. The number of
+//! routers that read the full list from the store must not grow with the fleet, since they share its
+//! bandwidth.
 
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -12,56 +13,56 @@
 };
 use bendhinge_ids::Instant;
 
-const READING: StoreReadTimings = StoreReadTimings {
+const READ_TIMINGS: StoreReadTimings = StoreReadTimings {
     first_rank_age: Duration::from_millis(700),
     rank_step: Duration::from_millis(600),
     max_age: Duration::from_millis(2_200),
     retry_delay: Duration::from_millis(2_000),
     urgent_retry_delay: Duration::from_millis(300),
 };
-const ROSTER: RosterTimeouts =
+const ROSTER_TIMEOUTS: RosterTimeouts =
     RosterTimeouts { dead_after: Duration::from_secs(3), expire_after: Duration::from_mins(1) };
-/// The period of exchanges, and of looks at whose turn it is.
-const ROUND_MS: u64 = 400;
-const LOOK_MS: u64 = 100;
-/// How long one that reads on has to read, and one that is told of the list to fetch it.
-const READ_MS: u64 = 400;
-const FETCH_MS: u64 = 300;
-/// All have started within this time.
-const STARTS_MS: u64 = 300;
-/// The aim for the last router to hold the list.
-const WHOLE_AT_THE_LAST_MS: u64 = 9_000;
-/// The aim for readers, whatever the fleet's size.
-const MOST_READERS: usize = 8;
+/// Period of exchanges, and of checks whether a router's read is due.
+const EXCHANGE_PERIOD_MS: u64 = 400;
+const CHECK_PERIOD_MS: u64 = 100;
+/// Duration of a read from the store, and of a fetch from a peer.
+const READ_DURATION_MS: u64 = 400;
+const FETCH_DURATION_MS: u64 = 300;
+/// Interval within which all routers start.
+const START_SPREAD_MS: u64 = 300;
+/// Time within which the last router must hold the list.
+const MAX_COMPLETION_MS: u64 = 9_000;
+/// Maximum number of readers for any fleet size.
+const MAX_READERS: usize = 8;
 
 fn address(number: usize) -> SocketAddr {
     let [.., high, low] = u32::try_from(number).unwrap().to_be_bytes();
     ([10, 0, high, low], 8_000).into()
 }
 
-/// One router in twenty has a wide link.
+/// Gives every twentieth router a fast link.
 fn link_mbps(number: usize) -> u32 {
     if number.is_multiple_of(20) { 200 } else { 20 }
 }
 
-/// A number that looks drawn.
-fn mixed(seed: u64) -> u64 {
-    let mut mixed = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    mixed ^= mixed >> 29;
-    mixed = mixed.wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    mixed ^ mixed >> 32
+/// Returns a deterministic pseudorandom number.
+fn pseudorandom(seed: u64) -> u64 {
+    let mut value = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    value ^= value >> 29;
+    value = value.wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    value ^ value >> 32
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Exchange(usize),
-    Look(usize),
-    HoldsList(usize, bool),
+    CheckRead(usize),
+    ListReceived(usize, bool),
 }
 
 struct Router {
     roster: Roster,
-    plan: StoreReadSchedule,
+    read_schedule: StoreReadSchedule,
     started_ms: u64,
     is_reading: bool,
     holds_list: bool,
@@ -79,24 +80,30 @@
     fn starting(count: usize) -> Self {
         let mut fleet = Self { routers: Vec::new(), events: BinaryHeap::new(), draws: 0, readers: 0 };
         for number in 0..count {
-            let started_ms = 1_000 + mixed(number as u64) % STARTS_MS;
+            let started_ms = 1_000 + pseudorandom(number as u64) % START_SPREAD_MS;
             let seeds: Vec<_> = (0..3).map(|seed| address(seed * count / 3)).collect();
-            let roster = Roster::new(address(number), link_mbps(number), &seeds, ROSTER);
-            let plan = StoreReadSchedule::new(READING);
-            let router =
-                Router { roster, plan, started_ms, is_reading: false, holds_list: false, is_fetching: false };
+            let roster = Roster::new(address(number), link_mbps(number), &seeds, ROSTER_TIMEOUTS);
+            let read_schedule = StoreReadSchedule::new(READ_TIMINGS);
+            let router = Router {
+                roster,
+                read_schedule,
+                started_ms,
+                is_reading: false,
+                holds_list: false,
+                is_fetching: false,
+            };
             fleet.routers.push(router);
-            fleet.at(started_ms, Event::Exchange(number));
-            fleet.at(started_ms + LOOK_MS, Event::Look(number));
+            fleet.schedule(started_ms, Event::Exchange(number));
+            fleet.schedule(started_ms + CHECK_PERIOD_MS, Event::CheckRead(number));
         }
         fleet
     }
 
-    fn at(&mut self, ms: u64, event: Event) {
+    fn schedule(&mut self, ms: u64, event: Event) {
         self.events.push(std::cmp::Reverse((ms, event)));
     }
 
-    fn heard(number: usize) -> MemberReport {
+    fn self_report(number: usize) -> MemberReport {
         MemberReport {
             address: address(number),
             age: Duration::ZERO,
@@ -106,72 +113,72 @@
         }
     }
 
-    fn number_of(address: SocketAddr) -> usize {
+    fn router_number(address: SocketAddr) -> usize {
         match address {
             SocketAddr::V4(address) => (address.ip().to_bits() & 0xffff) as usize,
-            SocketAddr::V6(_) => unreachable!("all are reached by IPv4"),
+            SocketAddr::V6(_) => unreachable!("all addresses are IPv4"),
         }
     }
 
-    /// Until all hold the list; gives when that was.
+    /// Runs until all routers hold the list and returns the time in milliseconds.
     fn run(&mut self) -> u64 {
         while let Some(std::cmp::Reverse((ms, event))) = self.events.pop() {
             let now = Instant::from_millis(ms);
             match event {
                 Event::Exchange(number) => self.exchange(number, ms, now),
-                Event::Look(number) => self.look(number, ms, now),
-                Event::HoldsList(number, from_store) => self.holds_list(number, from_store, now),
+                Event::CheckRead(number) => self.check_read(number, ms, now),
+                Event::ListReceived(number, from_store) => self.receive_list(number, from_store, now),
             }
             if self.routers.iter().all(|router| router.holds_list) {
                 return ms;
             }
         }
-        unreachable!("exchanges go on for ever")
+        unreachable!("exchanges are rescheduled indefinitely")
     }
 
     fn exchange(&mut self, number: usize, ms: u64, now: Instant) {
         let mut draws = self.draws;
         let mut draw = |below: usize| {
             draws += 1;
-            usize::try_from(mixed(draws)).unwrap() % below
+            usize::try_from(pseudorandom(draws)).unwrap() % below
         };
         let roster = &self.routers[number].roster;
-        let mut asked: Vec<_> = roster
+        let mut contacted: Vec<_> = roster
             .contacts(Reach::RelayAndRandom, false, now, &mut draw)
             .into_iter()
             .map(Contact::address)
             .collect();
-        asked.extend(roster.reconnect_contact(now, &mut draw).map(Contact::address));
+        contacted.extend(roster.reconnect_contact(now, &mut draw).map(Contact::address));
         self.draws = draws;
-        for address in asked {
-            let other = Self::number_of(address);
+        for address in contacted {
+            let other = Self::router_number(address);
             if self.routers[other].started_ms <= ms {
-                self.tell(number, other, now);
-                self.tell(other, number, now);
+                self.send_state(number, other, now);
+                self.send_state(other, number, now);
             }
         }
-        self.at(
-            ms + ROUND_MS * 4 / 5 + mixed(ms + number as u64) % (ROUND_MS * 2 / 5),
+        self.schedule(
+            ms + EXCHANGE_PERIOD_MS * 4 / 5 + pseudorandom(ms + number as u64) % (EXCHANGE_PERIOD_MS * 2 / 5),
             Event::Exchange(number),
         );
     }
 
-    /// `teller` tells `listener` whom it knows, and that it holds the list if it does.
-    fn tell(&mut self, teller: usize, listener: usize, now: Instant) {
-        let sender = Self::heard(teller);
+    /// Sends the members known to `sender_number`, and an announcement of the list if it holds it.
+    fn send_state(&mut self, sender_number: usize, receiver: usize, now: Instant) {
+        let sender = Self::self_report(sender_number);
         let members: Vec<MemberReport> =
-            if self.routers[teller].roster.digest() == self.routers[listener].roster.digest() {
+            if self.routers[sender_number].roster.digest() == self.routers[receiver].roster.digest() {
                 Vec::new()
             } else {
-                self.routers[teller].roster.members(now).collect()
+                self.routers[sender_number].roster.members(now).collect()
             };
-        let roster = &mut self.routers[listener].roster;
+        let roster = &mut self.routers[receiver].roster;
         roster.merge_direct(&sender, now);
         for member in &members {
             roster.merge_reported(member, sender.address, now);
         }
-        if self.routers[teller].holds_list {
-            self.fetch(listener, now);
+        if self.routers[sender_number].holds_list {
+            self.fetch(receiver, now);
         }
     }
 
@@ -180,43 +187,43 @@
         if !router.holds_list && !router.is_fetching {
             router.is_fetching = true;
             let ms = u64::try_from(now.since(Instant::default()).as_millis()).unwrap();
-            self.at(ms + FETCH_MS, Event::HoldsList(number, false));
+            self.schedule(ms + FETCH_DURATION_MS, Event::ListReceived(number, false));
         }
     }
 
-    fn look(&mut self, number: usize, ms: u64, now: Instant) {
+    fn check_read(&mut self, number: usize, ms: u64, now: Instant) {
         let router = &mut self.routers[number];
         if router.holds_list || router.is_reading {
             return;
         }
-        let turn = router.plan.full_list_delay(router.roster.own_rank(false, now), false);
-        if Duration::from_millis(ms - router.started_ms) < turn {
-            self.at(ms + LOOK_MS, Event::Look(number));
+        let delay = router.read_schedule.full_list_delay(router.roster.own_rank(false, now), false);
+        if Duration::from_millis(ms - router.started_ms) < delay {
+            self.schedule(ms + CHECK_PERIOD_MS, Event::CheckRead(number));
             return;
         }
         router.is_reading = true;
         self.readers += 1;
-        self.at(ms + READ_MS, Event::HoldsList(number, true));
+        self.schedule(ms + READ_DURATION_MS, Event::ListReceived(number, true));
     }
 
-    fn holds_list(&mut self, number: usize, from_store: bool, now: Instant) {
+    fn receive_list(&mut self, number: usize, from_store: bool, now: Instant) {
         if std::mem::replace(&mut self.routers[number].holds_list, true) {
             return;
         }
         let origin = if from_store { Origin::Store } else { Origin::Peer };
-        for listener in self.routers[number].roster.push_targets(origin, false, now) {
-            self.fetch(Self::number_of(listener), now);
+        for receiver in self.routers[number].roster.push_targets(origin, false, now) {
+            self.fetch(Self::router_number(receiver), now);
         }
     }
 }
 
 #[test]
-fn how_many_read_a_long_list_after_a_loss_of_all_does_not_grow_with_the_fleet() {
+fn readers_of_a_long_list_do_not_grow_with_the_fleet() {
     for count in [60, 240] {
         let mut fleet = Fleet::starting(count);
         let last_ms = fleet.run() - 1_000;
         println!("{count} routers: {} read the list, the last holds it after {last_ms} ms", fleet.readers);
-        assert!(fleet.readers <= MOST_READERS, "{} of {count} read the list", fleet.readers);
-        assert!(last_ms <= WHOLE_AT_THE_LAST_MS, "the last of {count} holds it after {last_ms} ms");
+        assert!(fleet.readers <= MAX_READERS, "{} of {count} read the list", fleet.readers);
+        assert!(last_ms <= MAX_COMPLETION_MS, "the last of {count} holds it after {last_ms} ms");
     }
 }
--- a/crates/bendhinge_fleet/tests/update_log.rs
+++ b/crates/bendhinge_fleet/tests/update_log.rs
@@ -1,4 +1,4 @@
-//! Each peer is told each piece of news once, however many come at a time.
+//! Tests that each peer receives each update once, including bursts of updates.
 
 use std::time::Duration;
 
@@ -20,30 +20,34 @@
 }
 
 #[test]
-fn a_peer_is_told_what_came_since_it_was_told() {
+fn peer_receives_entries_since_its_position() {
     let mut log = UpdateLog::new(LIMITS);
     log.push("first", UpdateSource::Local, at(10_000));
-    let told = log.since(None, PEER, at(10_000));
-    assert_eq!(told.entries, ["first"]);
+    let first_batch = log.since(None, PEER, at(10_000));
+    assert_eq!(first_batch.entries, ["first"]);
     log.push("second", OTHER, at(10_400));
-    let told_next = log.since(Some(told.last_sequence), PEER, at(10_400));
-    assert_eq!(told_next.entries, ["second"]);
-    assert!(log.since(Some(told_next.last_sequence), PEER, at(10_800)).entries.is_empty());
-    assert_eq!(log.since(None, OTHER, at(10_800)).entries, ["first"], "another was told nothing");
+    let next_batch = log.since(Some(first_batch.last_sequence), PEER, at(10_400));
+    assert_eq!(next_batch.entries, ["second"]);
+    assert!(log.since(Some(next_batch.last_sequence), PEER, at(10_800)).entries.is_empty());
+    assert_eq!(
+        log.since(None, OTHER, at(10_800)).entries,
+        ["first"],
+        "the other peer has received nothing yet"
+    );
 }
 
 #[test]
-fn nobody_is_told_what_it_told_itself() {
+fn entries_of_the_receiver_are_left_out() {
     let mut log = UpdateLog::new(LIMITS);
     log.push("its own", PEER, at(10_000));
     log.push("another's", OTHER, at(10_000));
-    let told = log.since(None, PEER, at(10_000));
-    assert_eq!(told.entries, ["another's"]);
-    assert_eq!(told.last_sequence, 2);
+    let batch = log.since(None, PEER, at(10_000));
+    assert_eq!(batch.entries, ["another's"]);
+    assert_eq!(batch.last_sequence, 2);
 }
 
 #[test]
-fn a_peer_that_was_told_nothing_is_spared_old_news() {
+fn new_peer_does_not_receive_old_entries() {
     let mut log = UpdateLog::new(LIMITS);
     log.push("old", OTHER, at(10_000));
     log.push("new", OTHER, at(12_000));
@@ -51,80 +55,79 @@
     assert_eq!(log.since(Some(0), PEER, at(12_100)).entries, ["old", "new"]);
 }
 
-/// A fleet that starts reads all prompts for the first time. What does not fit into a message goes with the
-/// next; before, all above 400 pieces was left out, and who was not told had prompts read again elsewhere.
+/// A burst that exceeds one message continues in the next ones without loss.
 #[test]
-fn a_burst_is_told_in_several_messages_and_whole() {
-    const BURST: u32 = 1_000;
+fn burst_is_split_without_loss() {
+    const BURST_ENTRIES: u32 = 1_000;
     let mut log = UpdateLog::new(LIMITS);
-    (0..BURST).for_each(|piece| log.push(piece, OTHER, at(10_000)));
-    let (mut heard, mut told, mut now) = (Vec::new(), None, 10_000);
-    while heard.len() < BURST as usize {
-        let news = log.since(told, PEER, at(now));
-        assert!(news.entries.len() <= LIMITS.max_batch_entries);
-        assert!(!news.entries.is_empty(), "{} of them are lost", BURST as usize - heard.len());
-        assert_eq!(news.dropped, 0);
-        heard.extend(news.entries);
-        told = Some(news.last_sequence);
+    (0..BURST_ENTRIES).for_each(|entry| log.push(entry, OTHER, at(10_000)));
+    let (mut received, mut position, mut now) = (Vec::new(), None, 10_000);
+    while received.len() < BURST_ENTRIES as usize {
+        let batch = log.since(position, PEER, at(now));
+        assert!(batch.entries.len() <= LIMITS.max_batch_entries);
+        assert!(!batch.entries.is_empty(), "{} entries are lost", BURST_ENTRIES as usize - received.len());
+        assert_eq!(batch.dropped, 0);
+        received.extend(batch.entries);
+        position = Some(batch.last_sequence);
         now += 400;
     }
-    assert_eq!(heard, (0..BURST).collect::<Vec<_>>());
+    assert_eq!(received, (0..BURST_ENTRIES).collect::<Vec<_>>());
 }
 
 #[test]
-fn what_is_not_told_any_more_is_counted() {
+fn dropped_entries_are_counted() {
     let mut log = UpdateLog::new(LIMITS);
-    (0..10).for_each(|piece| log.push(piece, OTHER, at(10_000)));
+    (0..10).for_each(|entry| log.push(entry, OTHER, at(10_000)));
     log.push(10, OTHER, at(16_000));
-    let late = log.since(Some(4), PEER, at(16_000));
-    assert_eq!((late.entries, late.dropped), (vec![10], 6), "too old");
+    let batch_after_expiry = log.since(Some(4), PEER, at(16_000));
+    assert_eq!((batch_after_expiry.entries, batch_after_expiry.dropped), (vec![10], 6), "expired");
     log.evict_expired(at(16_000));
-    let later = log.since(Some(4), PEER, at(16_000));
-    assert_eq!((later.entries, later.dropped), (vec![10], 6), "not kept");
-    for piece in 0..LIMITS.max_entries {
-        log.push(piece, OTHER, at(16_000));
+    let batch_after_eviction = log.since(Some(4), PEER, at(16_000));
+    assert_eq!((batch_after_eviction.entries, batch_after_eviction.dropped), (vec![10], 6), "evicted");
+    for entry in 0..LIMITS.max_entries {
+        log.push(entry, OTHER, at(16_000));
     }
-    let last = log.since(Some(10), PEER, at(16_000));
-    assert_eq!(last.dropped, 1, "pushed out by later ones");
+    let batch_after_overflow = log.since(Some(10), PEER, at(16_000));
+    assert_eq!(batch_after_overflow.dropped, 1, "evicted by later entries");
 }
 
 #[test]
-fn a_number_of_a_life_before_is_no_number() {
+fn sequence_number_of_an_earlier_incarnation_is_ignored() {
     let mut log = UpdateLog::new(LIMITS);
     log.push("of this life", OTHER, at(10_000));
     assert_eq!(log.since(Some(5_000), PEER, at(10_000)).entries, ["of this life"]);
 }
 
-/// Whatever is lost, delayed or told twice: who goes on asking hears everything in order, as long as it
-/// is kept.
+/// Random losses and evictions: a peer that keeps requesting receives all entries in order while they
+/// are kept.
 #[test]
-fn whoever_goes_on_asking_hears_all() {
+fn polling_peer_receives_all_entries() {
     arbtest::arbtest(|random| {
         let mut log = UpdateLog::new(LIMITS);
-        let (mut pushed, mut heard, mut told) = (0_u32, Vec::new(), 0);
+        let (mut pushed, mut received, mut position) = (0_u32, Vec::new(), 0);
         for _ in 0..random.int_in_range(1..=60)? {
             let now = at(10_000 + u64::from(pushed));
             for _ in 0..random.int_in_range(0..=60)? {
                 log.push(pushed, if random.ratio(1, 3)? { PEER } else { OTHER }, now);
                 pushed += 1;
             }
-            let news = log.since(Some(told), PEER, now);
-            // An answer that is lost moves nothing.
+            let batch = log.since(Some(position), PEER, now);
+            // A lost response does not advance the position.
             if random.ratio(2, 3)? {
-                heard.extend(news.entries);
-                told = news.last_sequence;
+                received.extend(batch.entries);
+                position = batch.last_sequence;
             }
             if random.ratio(1, 5)? {
                 log.evict_expired(now);
             }
         }
         for _ in 0..60 {
-            let news = log.since(Some(told), PEER, at(14_000));
-            heard.extend(news.entries);
-            told = news.last_sequence;
+            let batch = log.since(Some(position), PEER, at(14_000));
+            received.extend(batch.entries);
+            position = batch.last_sequence;
         }
-        assert!(heard.is_sorted(), "in order, and none twice");
-        assert_eq!(told, u64::from(pushed));
+        assert!(received.is_sorted(), "entries are out of order");
+        assert_eq!(position, u64::from(pushed));
         Ok(())
     });
 }
