--- a/crates/bendhinge_fleet/src/failure_detector.rs
+++ b/crates/bendhinge_fleet/src/failure_detector.rs
@@ -10,7 +10,7 @@
 use bendhinge_ids::{Instant, NameHash};
 use rustc_hash::FxHashMap;
 
-use crate::{LearnedFrom, UpstreamFailure};
+use crate::{UpdateSource, UpstreamFailure};
 
 /// How long a failure counts; several gossip rounds, so that it reaches all routers.
 const FAILURE_TTL: Duration = Duration::from_secs(3);
@@ -94,19 +94,19 @@
 struct Change {
     at: Instant,
     /// The router that reported the change, unless it lacks part of the evidence itself.
-    source: LearnedFrom,
+    source: UpdateSource,
 }
 
 impl TrackedUpstream {
     /// Records a change if the evidence differs from the announced one.
-    fn note_change(&mut self, source: LearnedFrom, now: Instant) {
+    fn note_change(&mut self, source: UpdateSource, now: Instant) {
         if self.evidence.differs_from(&self.announced, now) {
             self.announced.clone_from(&self.evidence);
             self.last_change = Some(Change { at: now, source });
         }
     }
 
-    fn is_announced_to(&self, recipient: LearnedFrom, now: Instant) -> bool {
+    fn is_announced_to(&self, recipient: UpdateSource, now: Instant) -> bool {
         self.last_change
             .is_some_and(|change| change.source != recipient && now.since(change.at) < ANNOUNCE_PERIOD)
     }
@@ -146,7 +146,7 @@
         self.own_responses.insert(upstream, now);
         if let Some(tracked) = self.upstreams.get_mut(&upstream) {
             tracked.evidence.last_response = tracked.evidence.last_response.max(Some(now));
-            tracked.note_change(LearnedFrom::Itself, now);
+            tracked.note_change(UpdateSource::Local, now);
         }
     }
 
@@ -171,7 +171,7 @@
         let report = FailureReport { router: self.local_router, at };
         let tracked = self.tracked(upstream);
         tracked.evidence.add_report(report);
-        tracked.note_change(LearnedFrom::Itself, now);
+        tracked.note_change(UpdateSource::Local, now);
     }
 
     fn tracked(&mut self, upstream: NameHash) -> &mut TrackedUpstream {
@@ -189,7 +189,7 @@
         &mut self,
         upstream: NameHash,
         received: &FailureEvidence,
-        sender: LearnedFrom,
+        sender: UpdateSource,
         now: Instant,
     ) -> SuspectChange {
         let tracked = self.tracked(upstream);
@@ -201,7 +201,7 @@
         let is_sender_outdated = evidence.quorum_progress(now) != received.quorum_progress(now);
         tracked.note_change(sender, now);
         if is_sender_outdated {
-            tracked.last_change = Some(Change { at: now, source: LearnedFrom::Itself });
+            tracked.last_change = Some(Change { at: now, source: UpdateSource::Local });
         }
         match (was_suspect, is_suspect) {
             (false, true) => SuspectChange::Suspected,
@@ -213,7 +213,7 @@
     /// Returns the recently changed evidence that has to be sent to `recipient`.
     pub fn changes_for(
         &self,
-        recipient: LearnedFrom,
+        recipient: UpdateSource,
         now: Instant,
     ) -> impl Iterator<Item = (NameHash, &FailureEvidence)> {
         let announced =
--- a/crates/bendhinge_fleet/src/lib.rs
+++ b/crates/bendhinge_fleet/src/lib.rs
@@ -1,49 +1,52 @@
-//! What a router believes of its fleet, how old that belief is, and who refreshes it.
+//! State that a router replicates from the platform's store and shares with the other routers.
 //!
-//! * [`Belief`] is a value with the instant as of which it was known to be current.
-//! * [`Roster`] is which routers there are, found from a few seeds.
-//! * [`ReadingPlan`] says when a router itself reads the platform's store.
-//! * [`Directory`] is which upstreams there are, over lists that may vanish by mistake.
-//! * [`NewsLog`] is what was learned lately, of which each peer is told what it lacks ([`PeerStates`]).
-//! * [`Loads`] is how many requests are at each upstream.
-//! * [`ListHistory`] tells a list of upstreams as changes, [`FetchPlan`] from whom it is fetched.
-//! * [`Relearning`] says when a router that has just started asks the upstreams what they keep.
-//! * [`OutlierDetector`] is which upstreams answer, by their own answers and what others saw.
-//! * [`RequestedBackoffs`] is which upstreams asked to be spared, and until when.
-//! * [`FailureDetector`] is which upstreams answer nobody, by what all routers saw.
-//! * [`Quarantine`] is which requests crash the upstreams that run them.
+//! * [`Replica`] holds a value with the time as of which it was current.
+//! * [`Roster`] tracks the membership of the fleet, starting from a few seeds.
+//! * [`StoreReadSchedule`] decides when this router reads the store.
+//! * [`FetchPlan`] selects the peer from which a newer value is fetched.
+//! * [`Directory`] holds the known upstreams and tolerates lists that vanish by mistake.
+//! * [`ListHistory`] encodes upstream lists as deltas.
+//! * [`UpdateLog`] holds recent updates, and [`PeerStates`] which of them each peer lacks.
+//! * [`Loads`] estimates the number of requests at each upstream.
+//! * [`CacheRecovery`] decides when a router that has just started queries the upstreams' caches.
+//! * [`OutlierDetector`] tracks which upstreams are available, by their responses and by reports of peers.
+//! * [`RequestedBackoffs`] tracks the upstreams that asked for a pause, and until when.
+//! * [`FailureDetector`] tracks the upstreams that respond to no router, by the reports of all routers.
+//! * [`Quarantine`] tracks the requests that crash the upstreams running them.
 //!
-//! All of it is pure: explicit state, an explicit clock, no input or output.
-//! `docs/design/PLATFORM.md` says what was weighed.
+//! All types are pure state machines: the clock is passed in, and there is no I/O.
+//! `docs/design/PLATFORM.md` describes the design.
 
 mod backoff;
-mod belief;
+mod cache_recovery;
 mod directory;
 mod failure_detector;
 mod fetch;
 mod lists;
 mod loads;
-mod news;
 mod outlier_detector;
 mod peers;
 mod quarantine;
-mod reading;
-mod relearning;
+mod replica;
 mod roster;
+mod store_reads;
+mod update_log;
 
 pub use backoff::{MAX_BACKOFF, RequestedBackoffs};
-pub use belief::{Belief, Held, Offer, Revision, Version};
+pub use cache_recovery::{CacheRecovery, CacheRecoveryStep, CacheRecoveryTimings, FleetView};
 pub use directory::{
     Directory, DirectoryLimits, ListedUpstream, UpstreamEntry, UpstreamList, UpstreamState, WarmUp,
 };
 pub use failure_detector::{FailureDetector, FailureEvidence, FailureReport, SuspectChange};
-pub use fetch::{FetchPlan, Holder};
-pub use lists::{ListChanges, ListHistory, ListTold};
-pub use loads::{HighLoads, ListLoads, LoadSaid, LoadStates, Loads};
-pub use news::{LearnedFrom, NewsLife, NewsLimits, NewsLog, NewsPosition, NewsTold};
+pub use fetch::{FetchPlan, FetchSource};
+pub use lists::{ListDelta, ListHistory, ListUpdate};
+pub use loads::{ListLoads, Loads, PackedHighLoads, PackedLoads, UpstreamLoad};
 pub use outlier_detector::{OutlierDetector, OutlierLimits, UpstreamFailure, UpstreamHealth};
-pub use peers::{PeerSaid, PeerState, PeerStates};
+pub use peers::{PeerState, PeerStates, PeerSummary};
 pub use quarantine::{Crash, CrashHistory, InFlightSends, MAX_CRASHES, Quarantine, SendPermission};
-pub use reading::{ReadingLimits, ReadingPlan};
-pub use relearning::{RelearnLimits, RelearnStep, RelearnView, Relearning};
-pub use roster::{Contact, Heard, Member, MemberStates, Origin, Reach, Roster, RosterDigest, RosterLimits};
+pub use replica::{Replica, Revision, UpdateOutcome, Version, VersionedValue};
+pub use roster::{
+    Contact, Member, MemberReport, MemberStates, Origin, Reach, Roster, RosterDigest, RosterTimeouts,
+};
+pub use store_reads::{StoreReadSchedule, StoreReadTimings};
+pub use update_log::{LogPosition, RouterIncarnation, UpdateBatch, UpdateLog, UpdateLogLimits, UpdateSource};
--- a/crates/bendhinge_fleet/src/peers.rs
+++ b/crates/bendhinge_fleet/src/peers.rs
@@ -1,4 +1,4 @@
-//! What each peer said last of itself, and what it was told: both decide how little a message may say.
+//! Latest state of each peer, used to send it only what it lacks.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,85 +6,97 @@
 use bendhinge_ids::Instant;
 use rustc_hash::FxHashMap;
 
-use crate::news::{NewsLife, NewsPosition};
 use crate::roster::RosterDigest;
+use crate::update_log::{LogPosition, RouterIncarnation};
 
-/// What a peer said of itself.
+/// State that a peer reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PeerSaid {
-    /// Its life; `None` if it says none.
-    pub life: Option<NewsLife>,
-    /// Which members it knows.
-    pub roster: RosterDigest,
-    /// The digest of the list of upstreams that it holds, if it holds one.
-    pub upstreams: Option<u64>,
-    /// The digest of what it knows of requests that crash upstreams.
-    pub quarantine: u64,
+pub struct PeerSummary {
+    /// Incarnation of the peer, or `None` if it reports none.
+    pub incarnation: Option<RouterIncarnation>,
+    /// Digest of the members that it knows.
+    pub roster_digest: RosterDigest,
+    /// Digest of the upstream list that it holds, if any.
+    pub upstream_list_digest: Option<u64>,
+    /// Digest of its quarantine state.
+    pub quarantine_digest: u64,
 }
 
-/// What is known of a peer.
+/// State of a peer as known to this router.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerState {
-    /// What it said last.
-    pub said: PeerSaid,
-    /// Up to which of the own news it was told in this life of its.
-    pub told: Option<u64>,
-    /// Up to which of its news this router heard.
-    pub heard: Option<NewsPosition>,
-    at: Instant,
+    /// Latest summary received from the peer.
+    pub summary: PeerSummary,
+    /// Last sequence number of this router's log that this incarnation of the peer acknowledged.
+    pub acknowledged: Option<u64>,
+    /// Last position of the peer's log that this router received.
+    pub received: Option<LogPosition>,
+    last_seen: Instant,
 }
 
-/// What is known of all peers that were talked to lately.
+/// States of all peers that were contacted recently.
 #[derive(Debug)]
 pub struct PeerStates {
     peers: FxHashMap<SocketAddr, PeerState>,
-    kept_for: Duration,
+    retention: Duration,
 }
 
 impl PeerStates {
-    /// Nobody was talked to. A peer that was not for `kept_for` is forgotten.
+    /// Creates an empty table. Peers without contact for `retention` are evicted.
     #[must_use]
-    pub fn new(kept_for: Duration) -> Self {
-        Self { peers: FxHashMap::default(), kept_for }
+    pub fn new(retention: Duration) -> Self {
+        Self { peers: FxHashMap::default(), retention }
     }
 
-    /// What is known of `peer`.
+    /// Returns the state of `peer`.
     #[must_use]
     pub fn get(&self, peer: SocketAddr) -> Option<&PeerState> {
         self.peers.get(&peer)
     }
 
-    /// Notes what `peer` said of itself. A new life of it was told nothing.
-    pub fn said(&mut self, peer: SocketAddr, said: PeerSaid, now: Instant) {
-        let state = self.peers.entry(peer).or_insert(PeerState { said, told: None, heard: None, at: now });
-        if state.said.life != said.life {
-            state.told = None;
-            state.heard = None;
+    /// Records a summary received from `peer`. A new incarnation resets the log positions.
+    pub fn record_summary(&mut self, peer: SocketAddr, summary: PeerSummary, now: Instant) {
+        let state = self.peers.entry(peer).or_insert(PeerState {
+            summary,
+            acknowledged: None,
+            received: None,
+            last_seen: now,
+        });
+        if state.summary.incarnation != summary.incarnation {
+            state.acknowledged = None;
+            state.received = None;
         }
-        state.said = said;
-        state.at = now;
+        state.summary = summary;
+        state.last_seen = now;
     }
 
-    /// Notes that `peer`, as it said that it was `life`, took in the own news up to `number`.
-    pub fn told(&mut self, peer: SocketAddr, life: Option<NewsLife>, number: u64) {
-        let state = self.peers.get_mut(&peer).filter(|state| state.said.life == life);
+    /// Records that `incarnation` of `peer` acknowledged this router's log up to `sequence`. Ignored if
+    /// the peer has restarted since.
+    pub fn record_acknowledged(
+        &mut self,
+        peer: SocketAddr,
+        incarnation: Option<RouterIncarnation>,
+        sequence: u64,
+    ) {
+        let state = self.peers.get_mut(&peer).filter(|state| state.summary.incarnation == incarnation);
         if let Some(state) = state {
-            state.told = state.told.max(Some(number));
+            state.acknowledged = state.acknowledged.max(Some(sequence));
         }
     }
 
-    /// Notes that the news of `peer` were heard up to `position`.
-    pub fn heard(&mut self, peer: SocketAddr, position: NewsPosition) {
+    /// Records that the log of `peer` was received up to `position`.
+    pub fn record_received(&mut self, peer: SocketAddr, position: LogPosition) {
         if let Some(state) = self.peers.get_mut(&peer) {
-            let before = state.heard.filter(|heard| heard.life == position.life);
-            let number = before.map_or(position.number, |heard| heard.number.max(position.number));
-            state.heard = Some(NewsPosition { number, ..position });
+            let known = state.received.filter(|received| received.incarnation == position.incarnation);
+            let sequence =
+                known.map_or(position.sequence, |received| received.sequence.max(position.sequence));
+            state.received = Some(LogPosition { sequence, ..position });
         }
     }
 
-    /// Forgets peers that were not talked to for long.
-    pub fn forget(&mut self, now: Instant) {
-        let kept_for = self.kept_for;
-        self.peers.retain(|_, state| now.since(state.at) < kept_for);
+    /// Evicts the peers that were not contacted within the retention period.
+    pub fn evict_idle(&mut self, now: Instant) {
+        let retention = self.retention;
+        self.peers.retain(|_, state| now.since(state.last_seen) < retention);
     }
 }
--- a/crates/bendhinge_fleet/src/quarantine.rs
+++ b/crates/bendhinge_fleet/src/quarantine.rs
@@ -17,7 +17,7 @@
 use bendhinge_ids::{Instant, NameHash, RequestDigest, RequestHint};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::LearnedFrom;
+use crate::UpdateSource;
 
 /// The number of upstream crashes after which a request is quarantined.
 pub const MAX_CRASHES: usize = 3;
@@ -190,7 +190,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Change {
     at: Instant,
-    source: LearnedFrom,
+    source: UpdateSource,
 }
 
 /// One router's view of the requests under which upstreams crashed.
@@ -297,7 +297,7 @@
 
     fn update_own_sends(&mut self, request: RequestDigest, now: Instant, apply: impl Fn(u8) -> u8) {
         let router = self.local_router;
-        self.update(request, LearnedFrom::Itself, now, |history| {
+        self.update(request, UpdateSource::Local, now, |history| {
             let existing = history.in_flight.iter().find(|entry| entry.router == router);
             let count = apply(existing.map_or(0, |existing| existing.count));
             // Keeps two changes within one clock tick in order.
@@ -315,7 +315,7 @@
         sent: Instant,
         now: Instant,
     ) -> bool {
-        self.update_or_insert(request, LearnedFrom::Itself, now, |history| {
+        self.update_or_insert(request, UpdateSource::Local, now, |history| {
             let upstream = history.instance_at(crash.upstream, sent);
             history.add_crash(Crash { upstream, ..crash })
         })
@@ -323,7 +323,7 @@
 
     /// Records a complete response to a request; returns `true` if that cleared any crash.
     pub fn record_response(&mut self, request: RequestDigest, now: Instant) -> bool {
-        self.update(request, LearnedFrom::Itself, now, |history| {
+        self.update(request, UpdateSource::Local, now, |history| {
             let had_crashes = history.crash_count() > 0;
             history.last_response = Some(now);
             had_crashes
@@ -335,7 +335,7 @@
         &mut self,
         request: RequestDigest,
         received: &CrashHistory,
-        sender: LearnedFrom,
+        sender: UpdateSource,
         now: Instant,
     ) -> bool {
         let local_router = self.local_router;
@@ -360,7 +360,7 @@
     fn update(
         &mut self,
         request: RequestDigest,
-        source: LearnedFrom,
+        source: UpdateSource,
         now: Instant,
         apply: impl FnOnce(&mut CrashHistory) -> bool,
     ) -> bool {
@@ -378,7 +378,7 @@
     fn update_or_insert(
         &mut self,
         request: RequestDigest,
-        source: LearnedFrom,
+        source: UpdateSource,
         now: Instant,
         apply: impl FnOnce(&mut CrashHistory) -> bool,
     ) -> bool {
@@ -430,13 +430,13 @@
     /// changes that this router observed and, if it `forwards`, those received from others.
     pub fn changes_for(
         &self,
-        recipient: LearnedFrom,
+        recipient: UpdateSource,
         since: Instant,
         forwards: bool,
     ) -> impl Iterator<Item = (RequestDigest, &CrashHistory)> {
         let is_sent = move |tracked: &TrackedRequest| {
             let Change { at, source } = tracked.last_change;
-            at > since && source != recipient && (forwards || source == LearnedFrom::Itself)
+            at > since && source != recipient && (forwards || source == UpdateSource::Local)
         };
         self.histories().filter(move |(request, _)| self.requests.get(request).is_some_and(is_sent))
     }
--- a/crates/bendhinge_fleet/tests/failure_detector.rs
+++ b/crates/bendhinge_fleet/tests/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Suspicion of upstreams based on the failures that several routers observe.
 
 use bendhinge_fleet::{
-    FailureDetector, FailureEvidence, FailureReport, LearnedFrom, SuspectChange, UpstreamFailure,
+    FailureDetector, FailureEvidence, FailureReport, SuspectChange, UpdateSource, UpstreamFailure,
 };
 use bendhinge_ids::{Instant, NameHash};
 
@@ -10,8 +10,8 @@
 const LOCAL_ROUTER: NameHash = NameHash(1);
 
 /// The router that reports evidence, and the one that evidence is announced to.
-const SENDER: LearnedFrom = LearnedFrom::Router(NameHash(200));
-const RECIPIENT: LearnedFrom = LearnedFrom::Router(NameHash(201));
+const SENDER: UpdateSource = UpdateSource::Router(NameHash(200));
+const RECIPIENT: UpdateSource = UpdateSource::Router(NameHash(201));
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(10_000 + millis)
--- a/crates/bendhinge_fleet/tests/quarantine.rs
+++ b/crates/bendhinge_fleet/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{
-    Crash, CrashHistory, InFlightSends, LearnedFrom, MAX_CRASHES, Quarantine, SendPermission,
+    Crash, CrashHistory, InFlightSends, MAX_CRASHES, Quarantine, SendPermission, UpdateSource,
 };
 use bendhinge_ids::{Instant, NameHash, RequestDigest};
 
@@ -43,7 +43,7 @@
 fn merge_all(from: &Quarantine, name: NameHash, to: &mut Quarantine, now: Instant) -> bool {
     let mut is_changed = false;
     for (request, history) in &snapshot(from) {
-        is_changed |= to.merge(*request, history, LearnedFrom::Router(name), now);
+        is_changed |= to.merge(*request, history, UpdateSource::Router(name), now);
     }
     is_changed
 }
@@ -154,11 +154,11 @@
     merge_all(&quarantine, LOCAL_ROUTER, &mut other, at(2));
     assert!(quarantine.record_response(HEALTHY, at(3)));
     assert_eq!(quarantine.permission(HEALTHY, at(3)), SendPermission::Allowed);
-    let changes: Vec<_> = quarantine.changes_for(LearnedFrom::Router(OTHER_ROUTER), at(2), false).collect();
+    let changes: Vec<_> = quarantine.changes_for(UpdateSource::Router(OTHER_ROUTER), at(2), false).collect();
     let [(request, history)] = changes[..] else {
         panic!("the cleared request must be reported: {changes:?}")
     };
-    assert!(other.merge(request, history, LearnedFrom::Router(LOCAL_ROUTER), at(3)));
+    assert!(other.merge(request, history, UpdateSource::Router(LOCAL_ROUTER), at(3)));
     assert_eq!(other.permission(HEALTHY, at(3)), SendPermission::Allowed);
     // Outdated reports from a third router change nothing.
     let outdated = quarantine_with_crashes(HEALTHY, [1, 2]);
@@ -227,7 +227,7 @@
     assert_ne!(quarantine.digest(), restarted.digest());
     for (request, history) in quarantine.synced_histories() {
         assert_eq!(request, CRASHING, "a single crash is not synchronised");
-        restarted.merge(request, history, LearnedFrom::Router(LOCAL_ROUTER), later);
+        restarted.merge(request, history, UpdateSource::Router(LOCAL_ROUTER), later);
     }
     assert_eq!(quarantine.digest(), restarted.digest());
     assert!(is_quarantined(&restarted, CRASHING, later));
@@ -238,7 +238,7 @@
     let mut quarantine = quarantine_with_crashes(CRASHING, [1]);
     let mut other = Quarantine::new(OTHER_ROUTER);
     merge_all(&quarantine, LOCAL_ROUTER, &mut other, at(1));
-    let (local, third) = (LearnedFrom::Router(LOCAL_ROUTER), LearnedFrom::Router(NameHash(102)));
+    let (local, third) = (UpdateSource::Router(LOCAL_ROUTER), UpdateSource::Router(NameHash(102)));
     assert_eq!(other.changes_for(local, at(0), true).count(), 0);
     assert_eq!(other.changes_for(third, at(0), true).count(), 1);
     assert_eq!(other.changes_for(third, at(0), false).count(), 0);
@@ -253,7 +253,7 @@
     for router in 0..300 {
         let sends = InFlightSends { router: NameHash(1_000 + router), count: 1, at: at(3 + router) };
         let received = CrashHistory { in_flight: vec![sends], ..CrashHistory::default() };
-        quarantine.merge(CRASHING, &received, LearnedFrom::Router(NameHash(1_000 + router)), at(3 + router));
+        quarantine.merge(CRASHING, &received, UpdateSource::Router(NameHash(1_000 + router)), at(3 + router));
     }
     let (_, history) = &snapshot(&quarantine)[0];
     assert!(history.in_flight.len() <= 10, "{}", history.in_flight.len());
@@ -323,7 +323,7 @@
                 _ => {
                     let to = choices.choose_index(ROUTERS)?;
                     for (request, history) in snapshot(&routers[router]) {
-                        routers[to].merge(request, &history, LearnedFrom::Router(names[router]), now);
+                        routers[to].merge(request, &history, UpdateSource::Router(names[router]), now);
                     }
                 }
             }
@@ -334,7 +334,7 @@
             for from in 0..ROUTERS {
                 for to in 0..ROUTERS {
                     for (request, history) in snapshot(&routers[from]) {
-                        routers[to].merge(request, &history, LearnedFrom::Router(names[from]), now);
+                        routers[to].merge(request, &history, UpdateSource::Router(names[from]), now);
                     }
                 }
             }
--- a/crates/bendhinge_lab/src/bench/resting.rs
+++ b/crates/bendhinge_lab/src/bench/resting.rs
@@ -11,8 +11,8 @@
 
 use bendhinge_admission::{FleetRetryBudget, RouterRetryBudget};
 use bendhinge_fleet::{
-    LearnedFrom, LoadSaid, Loads, OutlierDetector, OutlierLimits, RequestedBackoffs, UpstreamFailure,
-    UpstreamHealth,
+    Loads, OutlierDetector, OutlierLimits, RequestedBackoffs, UpdateSource, UpstreamFailure, UpstreamHealth,
+    UpstreamLoad,
 };
 use bendhinge_ids::{Instant, NameHash};
 use bendhinge_placement::{CachedParts, Candidate, CostModel, CostQuery, PartId, Prompt, PromptPart, choose};
@@ -274,7 +274,7 @@
     /// other does.
     fn candidates(&self, router: &Router, tried: &[NameHash]) -> Vec<Candidate> {
         let upstreams = 0..self.scene.upstreams;
-        let mean = router.loads.mean_of_others(upstreams.clone().map(hash), self.now);
+        let mean = router.loads.mean_other_requests(upstreams.clone().map(hash), self.now);
         let mut candidates: Vec<Candidate> =
             upstreams.map(|upstream| self.candidate(router, upstream, mean, tried)).collect();
         if !candidates.iter().any(|candidate| candidate.takes_work) {
@@ -302,7 +302,7 @@
         let (now, upstream) = (self.now, choice.candidate);
         let chosen = hash(upstream);
         let sender = &mut self.routers[router];
-        sender.loads.began(chosen);
+        sender.loads.start_request(chosen);
         sender.judge.record_send(chosen, now);
         sender.kept.record_prompt(chosen, &prompt, now);
         let hop = self.draw(HOP_MICROS);
@@ -345,7 +345,7 @@
         let Send { router, upstream, subject, tried, sent } = send;
         let chosen = hash(upstream);
         let asker = &mut self.routers[router];
-        asker.loads.ended(chosen, now.since(sent));
+        asker.loads.end_request(chosen, now.since(sent));
         if self.way != Way::Unread {
             asker.rests.record(chosen, REST, now);
         }
@@ -372,11 +372,11 @@
     fn answered(&mut self, send: &Send, began: Instant, in_progress: u32) {
         let (now, upstream) = (self.now, hash(send.upstream));
         let sender = &mut self.routers[send.router];
-        sender.loads.ended(upstream, now.since(began));
+        sender.loads.end_request(upstream, now.since(began));
         sender.judge.record_success(upstream, now);
-        let said = LoadSaid { upstream, in_progress, at: now };
+        let said = UpstreamLoad { upstream, in_progress, reported_at: now };
         // What upstreams say of their loads reaches all with the exchanges: here, those that hear of an answer.
-        sender.loads.learn(said, LearnedFrom::Itself);
+        sender.loads.record(said, UpdateSource::Local);
         self.seen.answered += 1;
     }
 }
