--- a/crates/bendhinge_fleet/src/roster.rs
+++ b/crates/bendhinge_fleet/src/roster.rs
@@ -62,7 +62,7 @@
 /// Router to exchange state with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Contact {
-    /// The preferred relay, a router with a better rank.
+    /// The preferred relay, the usual source of updates of the store.
     Relay(SocketAddr),
     /// Another relay, in case the preferred one is partitioned without noticing.
     AlternateRelay(SocketAddr),
--- a/crates/bendhinge_fleet/src/roster/ranks.rs
+++ b/crates/bendhinge_fleet/src/roster/ranks.rs
@@ -7,8 +7,10 @@
 /// Largest fleet in which all members use the first rank as relay.
 pub(super) const SMALL_FLEET_MAX: usize = 24;
 
-/// Returns the candidate relays of the member at `position`. In a small fleet this is the first rank, in
-/// a large one a middle tier, so that no member serves all others.
+/// Returns the candidate relays of the member at `position`.
+///
+/// In a small fleet this is the first rank. In a large one it is a middle tier, which in turn uses the
+/// first rank, so that no member serves all others. The first rank itself uses the second.
 pub(super) fn relays(position: usize, ranked: &[SocketAddr]) -> &[SocketAddr] {
     let relay_count = ranked.len().isqrt();
     let is_small = ranked.len() <= SMALL_FLEET_MAX;
--- a/crates/bendhinge_fleet/tests/roster_states.rs
+++ b/crates/bendhinge_fleet/tests/roster_states.rs
@@ -13,7 +13,7 @@
 /// Encoded size of a member sent in full, before compression.
 const FULL_MEMBER_BYTES: usize = 24;
 /// Number of routers with fast links.
-const FAST_LINKS: usize = 15;
+const FAST_LINK_COUNT: usize = 15;
 
 fn address(number: usize) -> SocketAddr {
     let [high, low] = u16::try_from(number).unwrap().to_be_bytes();
@@ -21,7 +21,7 @@
 }
 
 fn link_mbps(number: usize) -> u32 {
-    if number < FAST_LINKS { 200 } else { 20 }
+    if number < FAST_LINK_COUNT { 200 } else { 20 }
 }
 
 fn report(number: usize, age_ms: u64) -> MemberReport {
