--- a/crates/bendhinge_delivery/src/once.rs
+++ b/crates/bendhinge_delivery/src/once.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use bendhinge_ids::{Digest, Instant, RequestId, RouterIncarnation};
+use bendhinge_ids::{Digest, Instant, RequestId, RouterInstance};
 
 /// A customer's idempotency key, hashed with the customer's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claimant {
     /// The router.
-    pub life: RouterIncarnation,
+    pub life: RouterInstance,
     /// The request.
     pub request: RequestId,
 }
--- a/crates/bendhinge_delivery/tests/once.rs
+++ b/crates/bendhinge_delivery/tests/once.rs
@@ -5,13 +5,13 @@
 
 use arbtest::arbtest;
 use bendhinge_delivery::{Claim, Claimant, OnceKey, OnceLedger, OnceLimits, OnceOutcome, OwnershipHistory};
-use bendhinge_ids::{BoxName, Incarnation, Instant, RequestId, RouterIncarnation};
+use bendhinge_ids::{BoxName, Incarnation, Instant, RequestId, RouterInstance};
 
 const WINDOW: Duration = Duration::from_secs(600);
 
 fn claimant(router: u8, request: u64) -> Claimant {
     let name = format!("box-{router}").parse().unwrap();
-    Claimant { life: RouterIncarnation { name, incarnation: Incarnation(1) }, request: RequestId(request) }
+    Claimant { life: RouterInstance { name, incarnation: Incarnation(1) }, request: RequestId(request) }
 }
 
 /// Whatever is claimed, settled, settled late or by others: within the window a key is granted
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -14,7 +14,7 @@
 use bendhinge_fleet::UpstreamFailure;
 use bendhinge_http::{Body, Pool, Tasks, full_body};
 use bendhinge_ids::{Instant, NameHash, PoolName, RequestDigest};
-use bendhinge_routes::{AllowedRegions, Customer, Route};
+use bendhinge_routes::{Customer, RegionFilter, Route};
 use bytes::Bytes;
 use hyper::Response;
 use hyper::http::request;
@@ -115,7 +115,7 @@
     }
 
     /// Where it may run, by its route and by its customer.
-    fn regions(&self) -> [&AllowedRegions; 2] {
+    fn regions(&self) -> [&RegionFilter; 2] {
         let route = &self.route.regions;
         [route, self.customer.as_ref().map_or(route, |customer| &customer.regions)]
     }
--- a/crates/bendhinge_gateway/src/knowledge/upstreams.rs
+++ b/crates/bendhinge_gateway/src/knowledge/upstreams.rs
@@ -15,7 +15,7 @@
 use bendhinge_placement::{
     CachedPart, CachedParts, Candidate, ChoiceReason, CostModel, CostQuery, Prompt, WarmupLimit, choose,
 };
-use bendhinge_routes::{AllowedRegions, PoolRule};
+use bendhinge_routes::{PoolRule, RegionFilter};
 use rustc_hash::FxHashMap;
 
 use super::peers::router_hash;
@@ -42,7 +42,7 @@
     pub(crate) rule: Option<&'a PoolRule>,
     pub(crate) prompt: Option<&'a Prompt>,
     /// Where it may run, by its route and by its customer: each binds.
-    pub(crate) regions: [&'a AllowedRegions; 2],
+    pub(crate) regions: [&'a RegionFilter; 2],
     /// Upstreams that were tried already.
     pub(crate) tried: &'a [NameHash],
     /// Whether the request may be an upstream's trial: it can be sent again if that fails.
@@ -247,7 +247,7 @@
 
     /// When the first of the pool's upstreams that take work in regions that a request may reach ends its rest, if all
     /// of them asked for one.
-    pub(crate) fn first_rest_end(&self, pool: &PoolName, allowed: [&AllowedRegions; 2]) -> Option<Instant> {
+    pub(crate) fn first_rest_end(&self, pool: &PoolName, allowed: [&RegionFilter; 2]) -> Option<Instant> {
         let now = bendhinge_clock::now();
         let state = self.state.lock().unwrap();
         if state.rests.active_count(now) == 0 {
@@ -389,7 +389,7 @@
     fn allowed(
         &self,
         pool: &PoolName,
-        allowed: [&AllowedRegions; 2],
+        allowed: [&RegionFilter; 2],
         regions: &RegionMap,
     ) -> Vec<&ListedUpstream> {
         let is_allowed = |listed: &&ListedUpstream| {
--- a/crates/bendhinge_gateway/src/native/rules.rs
+++ b/crates/bendhinge_gateway/src/native/rules.rs
@@ -6,8 +6,8 @@
 use bendhinge_ids::{CustomerName, NameError, PoolName};
 use bendhinge_ini::{Document, Key, Millis, Schema, Section, SectionKind};
 use bendhinge_routes::{
-    AllowedRegions, CallerLimits, Customer, CustomerTable, PoolRule, Route, RouteKind, RouteTable,
-    ServingRules, TrafficSplit, WeightedPool,
+    CallerLimits, Customer, CustomerTable, PoolRule, PoolWeights, RegionFilter, Route, RouteKind, RouteTable,
+    ServingRules, WeightedPool,
 };
 
 use crate::dialect::TranslateError;
@@ -91,14 +91,14 @@
     }
 }
 
-struct RegionList(AllowedRegions);
+struct RegionList(RegionFilter);
 
 impl FromStr for RegionList {
     type Err = NameError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let names = text.split(',').map(str::trim).filter(|name| !name.is_empty());
-        names.map(str::parse).collect::<Result<_, _>>().map(|names| Self(AllowedRegions::new(names)))
+        names.map(str::parse).collect::<Result<_, _>>().map(|names| Self(RegionFilter::new(names)))
     }
 }
 
@@ -118,7 +118,7 @@
     }
 }
 
-struct WeightedPools(TrafficSplit);
+struct WeightedPools(PoolWeights);
 
 impl FromStr for WeightedPools {
     type Err = String;
@@ -130,7 +130,7 @@
             let weight: f64 = weight.parse().map_err(|error| format!("'{weight}': {error}"))?;
             Ok(WeightedPool { pool, weight })
         });
-        parts.collect::<Result<_, String>>().map(|parts| Self(TrafficSplit::new(parts)))
+        parts.collect::<Result<_, String>>().map(|parts| Self(PoolWeights::new(parts)))
     }
 }
 
@@ -224,7 +224,7 @@
         })
     }
 
-    fn regions(&self, section: &Section) -> Option<AllowedRegions> {
+    fn regions(&self, section: &Section) -> Option<RegionFilter> {
         self.0.value::<RegionList>(section, "regions").map(|list| list.0)
     }
 
--- a/crates/bendhinge_ids/src/lib.rs
+++ b/crates/bendhinge_ids/src/lib.rs
@@ -12,6 +12,6 @@
 };
 pub use number::{
     ConfigRevision, Digest, DigestError, EventSequence, Incarnation, PermitId, RequestDigest, RequestHint,
-    RouterIncarnation, hash_to_fraction,
+    RouterInstance, hash_to_fraction,
 };
 pub use time::Instant;
--- a/crates/bendhinge_ids/src/number.rs
+++ b/crates/bendhinge_ids/src/number.rs
@@ -41,7 +41,7 @@
 
 /// One run of the router on a box.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct RouterIncarnation {
+pub struct RouterInstance {
     /// Name of the box.
     pub name: BoxName,
     /// Incarnation of the router process.
--- a/crates/bendhinge_lab/src/bench/decision.rs
+++ b/crates/bendhinge_lab/src/bench/decision.rs
@@ -10,7 +10,7 @@
 };
 use bendhinge_configuration::{SealKey, canonical_document};
 use bendhinge_delivery::{IdentityKey, RequestIdentity};
-use bendhinge_ids::{ChatKey, Incarnation, Instant, NameHash, PoolName, RouterIncarnation};
+use bendhinge_ids::{ChatKey, Incarnation, Instant, NameHash, PoolName, RouterInstance};
 use bendhinge_placement::{
     LedgerLimits, LoadBound, LoadKey, LoadView, PermitLedger, PermitRequest, RankedUpstream, Ranking,
     SearchPool, SearchStep, UpstreamSearch,
@@ -85,8 +85,7 @@
     }
     let limits = LedgerLimits { lease: Duration::from_secs(10), max_displaced_chats: 1_000 };
     let mut ledger = PermitLedger::new(limits);
-    let holder =
-        RouterIncarnation { name: "box-1".parse().expect("a valid name"), incarnation: Incarnation(1) };
+    let holder = RouterInstance { name: "box-1".parse().expect("a valid name"), incarnation: Incarnation(1) };
     let began = Clock::now();
     for round in 0..ROUNDS {
         let now = Instant::from_millis(10_000 + u64::from(round));
--- a/crates/bendhinge_lab/src/bench/policy.rs
+++ b/crates/bendhinge_lab/src/bench/policy.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bendhinge_ids::{
-    BoxName, ChatKey, Incarnation, Instant, NameHash, PermitId, PoolName, RouterIncarnation, UpstreamName,
+    BoxName, ChatKey, Incarnation, Instant, NameHash, PermitId, PoolName, RouterInstance, UpstreamName,
 };
 use bendhinge_placement::{
     LedgerLimits, LoadBound, LoadKey, LoadReport, LoadView, PermitDenied, PermitLedger, PermitRequest,
@@ -135,7 +135,7 @@
 
 /// One of the routers, as the router's own policy has it.
 struct RouterState {
-    life: RouterIncarnation,
+    life: RouterInstance,
     view: LoadView,
     asks: PermitRequestBudget,
     ledger: PermitLedger,
@@ -170,7 +170,7 @@
             names.iter().position(|name| Some(name) == owner).expect("there are routers")
         };
         let router = |name: &BoxName| RouterState {
-            life: RouterIncarnation { name: name.clone(), incarnation: Incarnation(1) },
+            life: RouterInstance { name: name.clone(), incarnation: Incarnation(1) },
             view: LoadView::default(),
             asks: PermitRequestBudget::default(),
             ledger: PermitLedger::new(limits),
--- a/crates/bendhinge_peer/src/convert.rs
+++ b/crates/bendhinge_peer/src/convert.rs
@@ -4,7 +4,7 @@
 
 use bendhinge_delivery::{Claim, Claimant, OnceKey, OnceOutcome};
 use bendhinge_ids::{
-    BoxName, ConfigRevision, Digest, EventSequence, Incarnation, NameHash, RequestId, RouterIncarnation,
+    BoxName, ConfigRevision, Digest, EventSequence, Incarnation, NameHash, RequestId, RouterInstance,
 };
 use bendhinge_membership::{ClassUsage, CustomerUsage, Summary, SummaryVersion, UpstreamCount};
 use capnp::Error;
@@ -131,12 +131,12 @@
     bytes.try_into().map(OnceKey).map_err(|_| invalid("idempotency key"))
 }
 
-pub(crate) fn write_holder(mut builder: holder::Builder<'_>, life: &RouterIncarnation) {
+pub(crate) fn write_holder(mut builder: holder::Builder<'_>, life: &RouterInstance) {
     builder.set_name(life.name.as_str());
     builder.set_incarnation(life.incarnation.0);
 }
 
-pub(crate) fn write_told<T>(mut builder: holder::Builder<'_>, life: &RouterIncarnation, told: &Told<T>) {
+pub(crate) fn write_told<T>(mut builder: holder::Builder<'_>, life: &RouterInstance, told: &Told<T>) {
     builder.set_event(told.event.0);
     builder.set_request(told.request.0);
     write_holder(builder, life);
@@ -146,8 +146,8 @@
     Told { message, event: EventSequence(reader.get_event()), request: RequestId(reader.get_request()) }
 }
 
-pub(crate) fn read_holder(reader: holder::Reader<'_>) -> Result<RouterIncarnation, Error> {
-    Ok(RouterIncarnation {
+pub(crate) fn read_holder(reader: holder::Reader<'_>) -> Result<RouterInstance, Error> {
+    Ok(RouterInstance {
         name: read_box_name(reader.get_name()?)?,
         incarnation: Incarnation(reader.get_incarnation()),
     })
--- a/crates/bendhinge_peer/src/duties.rs
+++ b/crates/bendhinge_peer/src/duties.rs
@@ -1,7 +1,7 @@
 //! What a router does for its peers.
 
 use bendhinge_delivery::{Claim, Claimant, OnceKey, OnceOutcome};
-use bendhinge_ids::{ChatKey, Digest, EventSequence, PermitId, RequestId, RouterIncarnation, UpstreamName};
+use bendhinge_ids::{ChatKey, Digest, EventSequence, PermitId, RequestId, RouterInstance, UpstreamName};
 use bendhinge_membership::Summary;
 use bendhinge_placement::{PermitGrant, PermitRequest};
 
@@ -23,7 +23,7 @@
     /// The key.
     pub key: OnceKey,
     /// The router that would run the request.
-    pub holder: RouterIncarnation,
+    pub holder: RouterInstance,
     /// Whether the caller says that it has not sent the request before.
     pub declared_first: bool,
 }
--- a/crates/bendhinge_placement/src/ledger.rs
+++ b/crates/bendhinge_placement/src/ledger.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use bendhinge_ids::{ChatKey, Instant, PermitId, RouterIncarnation, UpstreamName};
+use bendhinge_ids::{ChatKey, Instant, PermitId, RouterInstance, UpstreamName};
 
 use rustc_hash::FxHashMap;
 
@@ -33,7 +33,7 @@
     /// The upstream to send to.
     pub upstream: UpstreamName,
     /// The router that requests the permit.
-    pub holder: RouterIncarnation,
+    pub holder: RouterInstance,
     /// The chat, if the upstream is its preferred one. The owner then redirects the chat if it
     /// was displaced.
     pub first_choice_of: Option<ChatKey>,
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 struct OutstandingPermit {
     upstream: UpstreamName,
-    holder: RouterIncarnation,
+    holder: RouterInstance,
 }
 
 /// Time for which the history of permit counts is kept, to be compared with delayed reports.
@@ -113,7 +113,7 @@
     limits: LedgerLimits,
     counts: FxHashMap<UpstreamName, UpstreamCount>,
     outstanding: FxHashMap<PermitId, OutstandingPermit>,
-    last_heartbeats: FxHashMap<RouterIncarnation, Instant>,
+    last_heartbeats: FxHashMap<RouterInstance, Instant>,
     displaced: DisplacedChats,
     next_permit: u64,
 }
@@ -162,7 +162,7 @@
         Ok(self.grant(&request.upstream, &request.holder, now))
     }
 
-    fn grant(&mut self, upstream: &UpstreamName, holder: &RouterIncarnation, now: Instant) -> PermitGrant {
+    fn grant(&mut self, upstream: &UpstreamName, holder: &RouterInstance, now: Instant) -> PermitGrant {
         let permit = PermitId(self.next_permit);
         self.next_permit += 1;
         let count = self.counts.entry(upstream.clone()).or_default();
@@ -200,14 +200,14 @@
     }
 
     /// Records a heartbeat sent by `holder` at time `at`, which renews all its permits.
-    pub fn renew(&mut self, holder: &RouterIncarnation, at: Instant) {
+    pub fn renew(&mut self, holder: &RouterInstance, at: Instant) {
         if let Some(last_heartbeat) = self.last_heartbeats.get_mut(holder) {
             *last_heartbeat = at.max(*last_heartbeat);
         }
     }
 
     /// Returns the router processes that hold or have held permits.
-    pub fn holders(&self) -> impl Iterator<Item = &RouterIncarnation> {
+    pub fn holders(&self) -> impl Iterator<Item = &RouterInstance> {
         self.last_heartbeats.keys()
     }
 
@@ -215,7 +215,7 @@
     /// number.
     pub fn expire(&mut self, now: Instant) -> usize {
         let lease = self.limits.lease;
-        let expired: Vec<RouterIncarnation> = self
+        let expired: Vec<RouterInstance> = self
             .last_heartbeats
             .iter()
             .filter(|(_, last_heartbeat)| now.since(**last_heartbeat) > lease)
@@ -225,7 +225,7 @@
     }
 
     /// Revokes all permits of a router process that has ended, and returns their number.
-    pub fn revoke_permits(&mut self, holder: &RouterIncarnation, now: Instant) -> usize {
+    pub fn revoke_permits(&mut self, holder: &RouterInstance, now: Instant) -> usize {
         self.last_heartbeats.remove(holder);
         let permits: Vec<PermitId> = self
             .outstanding
--- a/crates/bendhinge_placement/tests/ledger.rs
+++ b/crates/bendhinge_placement/tests/ledger.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use arbtest::arbtest;
-use bendhinge_ids::{ChatKey, Incarnation, Instant, PermitId, RouterIncarnation, UpstreamName};
+use bendhinge_ids::{ChatKey, Incarnation, Instant, PermitId, RouterInstance, UpstreamName};
 use bendhinge_placement::{LedgerLimits, LoadReport, PermitDenied, PermitLedger, PermitRequest};
 
 const LEASE: Duration = Duration::from_secs(10);
@@ -17,8 +17,8 @@
     format!("engine-{number}").parse().unwrap()
 }
 
-fn life(number: u8) -> RouterIncarnation {
-    RouterIncarnation { name: format!("box-{number}").parse().unwrap(), incarnation: Incarnation(1) }
+fn life(number: u8) -> RouterInstance {
+    RouterInstance { name: format!("box-{number}").parse().unwrap(), incarnation: Incarnation(1) }
 }
 
 fn request(upstream_number: u8, holder: u8, limit: u32) -> PermitRequest {
--- a/crates/bendhinge_router/src/control/housekeeping.rs
+++ b/crates/bendhinge_router/src/control/housekeeping.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use bendhinge_ids::{BoxName, Instant, RouterIncarnation};
+use bendhinge_ids::{BoxName, Instant, RouterInstance};
 use smol::Timer;
 
 use super::Control;
@@ -53,11 +53,11 @@
 
 /// Renews the permits of routers that were heard of, and ends those of lives that are over.
 fn look_after_permits(node: &Node, now: Instant) {
-    let heard: Vec<(RouterIncarnation, Instant)> = {
+    let heard: Vec<(RouterInstance, Instant)> = {
         let membership = node.membership.lock().unwrap();
         let heard = membership.exchange.summaries(now).map(|(summary, age)| {
             let life =
-                RouterIncarnation { name: summary.name.clone(), incarnation: summary.version.incarnation };
+                RouterInstance { name: summary.name.clone(), incarnation: summary.version.incarnation };
             (life, now - age)
         });
         heard.collect()
@@ -67,10 +67,10 @@
     for (life, then) in &heard {
         ledger.renew(life, *then);
     }
-    let is_over = |holder: &RouterIncarnation| {
+    let is_over = |holder: &RouterInstance| {
         heard.iter().any(|(life, _)| life.name == holder.name && life.incarnation > holder.incarnation)
     };
-    let over: Vec<RouterIncarnation> = ledger.holders().filter(|holder| is_over(holder)).cloned().collect();
+    let over: Vec<RouterInstance> = ledger.holders().filter(|holder| is_over(holder)).cloned().collect();
     for holder in &over {
         ledger.revoke_permits(holder, now);
     }
--- a/crates/bendhinge_router/src/control/mod.rs
+++ b/crates/bendhinge_router/src/control/mod.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_ids::{BoxName, RouterIncarnation};
+use bendhinge_ids::{BoxName, RouterInstance};
 use bendhinge_peer::{PeerClient, PeerPool, PeerPoolLimits};
 use smol::LocalExecutor;
 use smol::channel::Receiver;
@@ -63,7 +63,7 @@
 }
 
 /// The life in which another router was last heard of.
-pub(crate) fn life_of(node: &Node, name: &BoxName) -> Option<RouterIncarnation> {
+pub(crate) fn life_of(node: &Node, name: &BoxName) -> Option<RouterInstance> {
     let version = node.membership.lock().unwrap().exchange.version(name)?;
-    Some(RouterIncarnation { name: name.clone(), incarnation: version.incarnation })
+    Some(RouterInstance { name: name.clone(), incarnation: version.incarnation })
 }
--- a/crates/bendhinge_router/src/node.rs
+++ b/crates/bendhinge_router/src/node.rs
@@ -8,7 +8,7 @@
 
 use bendhinge_delivery::{OnceLedger, OnceLimits};
 use bendhinge_http::{Pool, Tasks};
-use bendhinge_ids::{EventSequence, RequestId, RouterIncarnation};
+use bendhinge_ids::{EventSequence, RequestId, RouterInstance};
 use bendhinge_membership::{Freshness, FreshnessLimits};
 use bendhinge_peer::Traffic;
 use bendhinge_placement::{LedgerLimits, LoadView, PermitLedger, PermitRequestBudget};
@@ -30,7 +30,7 @@
 /// One router.
 pub(crate) struct Node {
     pub(crate) settings: Settings,
-    pub(crate) life: RouterIncarnation,
+    pub(crate) life: RouterInstance,
     pub(crate) tasks: Tasks,
     pub(crate) record: Record,
     pub(crate) metrics: Metrics,
@@ -56,7 +56,7 @@
 /// The parts that are made before the node.
 pub(crate) struct NodeParts {
     pub(crate) settings: Settings,
-    pub(crate) life: RouterIncarnation,
+    pub(crate) life: RouterInstance,
     pub(crate) tasks: Tasks,
     pub(crate) metrics: Metrics,
     pub(crate) traffic: Arc<Traffic>,
@@ -149,7 +149,7 @@
 }
 
 /// The tie to an event of another router's life.
-pub(crate) fn link(life: &RouterIncarnation, sequence: EventSequence) -> EventLink {
+pub(crate) fn link(life: &RouterInstance, sequence: EventSequence) -> EventLink {
     let process = ProcessId { name: life.name.to_string(), incarnation: life.incarnation };
     EventLink { process, sequence }
 }
--- a/crates/bendhinge_router/src/run.rs
+++ b/crates/bendhinge_router/src/run.rs
@@ -7,7 +7,7 @@
 
 use bendhinge_codes::ExitStatus;
 use bendhinge_http::{ServeLimits, Server, Tasks, run_until, termination};
-use bendhinge_ids::{Incarnation, RouterIncarnation};
+use bendhinge_ids::{Incarnation, RouterInstance};
 use bendhinge_peer::Traffic;
 use bendhinge_timeline::EventKind;
 use futures_lite::FutureExt;
@@ -80,7 +80,7 @@
     let traffic = Arc::new(Traffic::default());
     let (calls, received_calls) = unbounded();
     let (stop_control, control_stopped) = bounded::<()>(1);
-    let life = RouterIncarnation { name: settings.name.clone(), incarnation: new_incarnation() };
+    let life = RouterInstance { name: settings.name.clone(), incarnation: new_incarnation() };
     let workers = settings.workers;
     let node = Arc::new(Node::new(NodeParts {
         metrics: Metrics::new(&traffic)?,
--- a/crates/bendhinge_routes/src/customer.rs
+++ b/crates/bendhinge_routes/src/customer.rs
@@ -5,7 +5,7 @@
 use bendhinge_ids::CustomerName;
 use rustc_hash::FxHashMap;
 
-use crate::AllowedRegions;
+use crate::RegionFilter;
 
 /// A customer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// Priority of its requests, overriding that of the route; 0 is the most urgent.
     pub priority: Option<u8>,
     /// Regions that may serve its requests, in addition to the restriction of the route.
-    pub regions: AllowedRegions,
+    pub regions: RegionFilter,
 }
 
 /// Customers by API key.
--- a/crates/bendhinge_routes/src/lib.rs
+++ b/crates/bendhinge_routes/src/lib.rs
@@ -14,7 +14,7 @@
 mod table;
 
 pub use customer::{Customer, CustomerTable};
-pub use regions::AllowedRegions;
-pub use route::{Route, RouteKind, TrafficSplit, WeightedPool};
+pub use regions::RegionFilter;
+pub use route::{PoolWeights, Route, RouteKind, WeightedPool};
 pub use rules::{CallerLimits, PoolRule, ServingRules};
 pub use table::{RouteTable, host_without_port};
--- a/crates/bendhinge_routes/src/regions.rs
+++ b/crates/bendhinge_routes/src/regions.rs
@@ -4,9 +4,9 @@
 
 /// Regions whose upstreams may serve the requests of a route or a customer; an empty list allows every region.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AllowedRegions(Vec<RegionName>);
+pub struct RegionFilter(Vec<RegionName>);
 
-impl AllowedRegions {
+impl RegionFilter {
     /// Allows only the regions in `names`, or every region if `names` is empty.
     #[must_use]
     pub const fn new(names: Vec<RegionName>) -> Self {
--- a/crates/bendhinge_routes/src/route.rs
+++ b/crates/bendhinge_routes/src/route.rs
@@ -4,7 +4,7 @@
 
 use bendhinge_ids::PoolName;
 
-use crate::AllowedRegions;
+use crate::RegionFilter;
 
 /// Retry semantics and response type of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     }
 }
 
-/// A pool and its weight in a [`TrafficSplit`].
+/// A pool and its weight in a [`PoolWeights`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedPool {
     /// Name of the pool.
@@ -45,9 +45,9 @@
 
 /// Weighted distribution of a route's traffic over pools.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TrafficSplit(Vec<WeightedPool>);
+pub struct PoolWeights(Vec<WeightedPool>);
 
-impl TrafficSplit {
+impl PoolWeights {
     /// Sends all traffic to one pool.
     #[must_use]
     pub fn single(pool: PoolName) -> Self {
@@ -101,7 +101,7 @@
     /// Whether requests without an API key are served.
     pub allow_anonymous: bool,
     /// Regions that may serve the requests.
-    pub regions: AllowedRegions,
+    pub regions: RegionFilter,
     /// Pools that serve the requests.
-    pub split: TrafficSplit,
+    pub split: PoolWeights,
 }
--- a/crates/bendhinge_routes/tests/routes.rs
+++ b/crates/bendhinge_routes/tests/routes.rs
@@ -1,10 +1,10 @@
-//! Tests of route lookup, traffic splits, API keys and region restrictions.
+//! Tests of route lookup, pool weights, API keys and region restrictions.
 
 use std::time::Duration;
 
 use bendhinge_ids::PoolName;
 use bendhinge_routes::{
-    AllowedRegions, Customer, CustomerTable, Route, RouteKind, RouteTable, TrafficSplit, WeightedPool,
+    Customer, CustomerTable, PoolWeights, RegionFilter, Route, RouteKind, RouteTable, WeightedPool,
     host_without_port,
 };
 
@@ -24,8 +24,8 @@
         priority: 1,
         max_attempts: 2,
         allow_anonymous: false,
-        regions: AllowedRegions::default(),
-        split: TrafficSplit::single(pool("pool")),
+        regions: RegionFilter::default(),
+        split: PoolWeights::single(pool("pool")),
     }
 }
 
@@ -67,12 +67,12 @@
 fn traffic_is_split_by_weight() {
     let pools = [("old", 3.0), ("none", 0.0), ("new", 1.0)];
     let pools = pools.map(|(name, weight)| WeightedPool { pool: pool(name), weight });
-    let split = TrafficSplit::new(pools.to_vec());
+    let split = PoolWeights::new(pools.to_vec());
     let steps = 0..1_000;
     let to_new = steps.filter(|step| split.pool_at(f64::from(*step) / 1_000.0) == Some(&pool("new")));
     assert_eq!(to_new.count(), 250);
     assert_eq!(split.pool_at(0.999_999_999), Some(&pool("new")));
-    assert_eq!(TrafficSplit::new(Vec::new()).pool_at(0.5), None);
+    assert_eq!(PoolWeights::new(Vec::new()).pool_at(0.5), None);
 }
 
 #[test]
@@ -80,7 +80,7 @@
     let customer = |name: &str| Customer {
         name: name.parse().unwrap(),
         priority: None,
-        regions: AllowedRegions::default(),
+        regions: RegionFilter::default(),
     };
     let table = CustomerTable::new([
         (customer("one"), vec!["k1".to_owned(), "k2".to_owned()]),
@@ -96,7 +96,7 @@
 #[test]
 fn customer_without_keys_still_requires_key() {
     let customer =
-        Customer { name: "one".parse().unwrap(), priority: None, regions: AllowedRegions::default() };
+        Customer { name: "one".parse().unwrap(), priority: None, regions: RegionFilter::default() };
     assert!(CustomerTable::new([(customer, Vec::new())]).requires_key());
     assert!(!CustomerTable::default().requires_key());
 }
@@ -104,9 +104,9 @@
 #[test]
 fn region_list_allows_only_upstreams_in_listed_regions() {
     let (north, south) = ("north".parse().unwrap(), "south".parse().unwrap());
-    let allowed = AllowedRegions::new(vec![north]);
+    let allowed = RegionFilter::new(vec![north]);
     assert!(allowed.allows(Some(&"north".parse().unwrap())));
     assert!(!allowed.allows(Some(&south)));
     assert!(!allowed.allows(None));
-    assert!(AllowedRegions::default().allows(Some(&south)) && AllowedRegions::default().allows(None));
+    assert!(RegionFilter::default().allows(Some(&south)) && RegionFilter::default().allows(None));
 }
