--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -15,8 +15,8 @@
 
 use super::message::{Content, own_message, take_in};
 use super::{Control, draw};
-use crate::delivery::Delivering;
-use crate::quarantine::SuspicionChange;
+use crate::delivery::DeliveryContext;
+use crate::quarantine::QuarantineChange;
 
 /// After how many rounds any other is asked, besides the one that hears of the store.
 const ANY_EVERY: u32 = 4;
@@ -64,7 +64,7 @@
 /// Whether this gateway has no rules yet, or no upstreams to begin with. It then asks any that it has heard of, since
 /// where all have just started the first in rank would be asked by all.
 fn is_seeking(control: &Control) -> bool {
-    let Delivering { rules, upstreams, .. } = &*control.delivering;
+    let DeliveryContext { rules, upstreams, .. } = &*control.delivering;
     rules.current().is_none() || !upstreams.is_begun()
 }
 
@@ -87,7 +87,7 @@
 
 /// Tells others of what changed of suspected requests, for ever: at once where the next send of one may depend on
 /// it, since that may come at any of them.
-pub(super) async fn tell_suspicions(control: Rc<Control>, changes: Receiver<SuspicionChange>) {
+pub(super) async fn tell_suspicions(control: Rc<Control>, changes: Receiver<QuarantineChange>) {
     /// The least time between two messages of this to the same gateway.
     const PAUSE: Duration = Duration::from_millis(200);
     let mut since = bendhinge_clock::now();
@@ -98,7 +98,7 @@
         let quarantine = &control.delivering.quarantine;
         let listeners = control.roster.borrow().suspicion_push_targets(origin, failing, now);
         for address in listeners {
-            if !quarantine.has_changes(address, since, tells_on) {
+            if !quarantine.has_changes_for(address, since, tells_on) {
                 continue;
             }
             let telling = Rc::clone(&control);
@@ -112,7 +112,7 @@
 
 /// Waits for a change that is to be told, and takes those that come until then along; gives by whom they were
 /// noticed, this gateway if one was. `None` if there will be none.
-async fn next_change(changes: &Receiver<SuspicionChange>) -> Option<Origin> {
+async fn next_change(changes: &Receiver<QuarantineChange>) -> Option<Origin> {
     /// How long single crashes wait: when busy upstreams crash, hundreds are noticed at once, and there is no time to
     /// spare then.
     const WAIT: Duration = Duration::from_millis(400);
@@ -124,10 +124,10 @@
             None
         };
         let Some(next) = async { changes.recv().await.ok() }.or(too_long).await else { break };
-        taken = taken.with(next);
+        taken = taken.merge(next);
     }
     while let Ok(next) = changes.try_recv() {
-        taken = taken.with(next);
+        taken = taken.merge(next);
     }
     Some(taken.origin)
 }
@@ -177,7 +177,7 @@
         };
         let now = bendhinge_clock::now();
         let lost = self.lost_ages();
-        let Delivering { rules, upstreams, .. } = &*self.delivering;
+        let DeliveryContext { rules, upstreams, .. } = &*self.delivering;
         is_fresher(message.rules, rules.known(now), lost.rules)
             || is_fresher(message.upstreams, upstreams.known(now), lost.upstreams)
     }
--- a/crates/bendhinge_gateway/src/control/fetching.rs
+++ b/crates/bendhinge_gateway/src/control/fetching.rs
@@ -17,7 +17,7 @@
 use futures_lite::future::zip;
 
 use super::Control;
-use crate::delivery::Delivering;
+use crate::delivery::DeliveryContext;
 use crate::knowledge::RulesInForce;
 use crate::metrics::Believed;
 
@@ -59,7 +59,7 @@
 impl Control {
     /// Fetches what the gateway at `address` holds and this one lacks, as its `message` says.
     pub(super) async fn fetch_news(self: &Rc<Self>, address: SocketAddr, message: &PeerMessage) {
-        let Delivering { rules, upstreams, .. } = &*self.delivering;
+        let DeliveryContext { rules, upstreams, .. } = &*self.delivering;
         let holder = |known: Known| FetchSource { address, version: known.version };
         let list = async {
             if let Some(holder) = message.upstreams.map(holder) {
@@ -140,7 +140,7 @@
         fetched: Result<Option<T>, CallError>,
     ) -> Option<T> {
         let took = bendhinge_clock::now().since(asked);
-        let Delivering { metrics, log, .. } = &*self.delivering;
+        let DeliveryContext { metrics, log, .. } = &*self.delivering;
         metrics.peer_fetch(what, took, fetched.is_ok());
         fetched.inspect_err(|error| log.fetch_failed(what, from, took, error)).ok().flatten()
     }
@@ -186,7 +186,7 @@
         list: UpstreamList,
         from: Origin,
     ) {
-        let Delivering { upstreams, log, .. } = &*self.delivering;
+        let DeliveryContext { upstreams, log, .. } = &*self.delivering;
         let drained = list.drained.clone();
         let were_drained = upstreams.list().map(|held| held.drained.clone()).unwrap_or_default();
         let offer = upstreams.offer(known.version, asked - known.age, list);
@@ -196,7 +196,7 @@
         if offer == UpdateOutcome::Updated {
             let age = bendhinge_clock::now().since(asked - known.age);
             log.belief(Believed::Upstreams, known.version, from, age);
-            self.delivering.quarantine.follow_software(upstreams.software());
+            self.delivering.quarantine.set_running_software(upstreams.software());
             self.spread(from);
         }
     }
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -56,7 +56,7 @@
     };
     let quarantine = &control.delivering.quarantine;
     if let Content::Urgent { since, tells_on } = content {
-        message.suspicions = quarantine.changes(listener, since, tells_on, now);
+        message.suspicions = quarantine.changes_for(listener, since, tells_on, now);
     }
     if message.is_brief {
         return message;
@@ -67,7 +67,7 @@
     }
     if content == Content::Whole {
         let known = peer.map_or(0, |peer| peer.summary.quarantine_digest);
-        message.suspicions = quarantine.that_differs(known, now);
+        message.suspicions = quarantine.histories_to_sync(known, now);
         message.doubts = control.delivering.upstreams.doubts_to_tell(listener, now);
         telling.loads(&mut message);
         telling.reads(question, &mut message);
@@ -138,7 +138,7 @@
     if let (Some(told), Some(known)) = (&message.list_loads, message.upstreams) {
         upstreams.hear_list_loads(told, known.version, from, as_of);
     }
-    control.delivering.quarantine.hear(&message.suspicions, from, as_of);
+    control.delivering.quarantine.merge_reported(&message.suspicions, from, as_of);
     for upstream in upstreams.hear_doubts(&message.doubts, from, as_of) {
         control.delivering.log.upstream_suspected(&upstream.name, from);
         control.delivering.metrics.upstream_suspected();
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -24,10 +24,10 @@
 use self::exchange::Duties;
 use self::fetching::Fetching;
 use self::store::Reading;
-use crate::delivery::Delivering;
+use crate::delivery::DeliveryContext;
 use crate::dialect::ForeignEntry;
 use crate::lifecycle::Lifecycle;
-use crate::quarantine::SuspicionChange;
+use crate::quarantine::QuarantineChange;
 use crate::settings::Settings;
 
 /// How long a gateway that gave no answer is not asked again.
@@ -38,7 +38,7 @@
 /// What runs between gateways and towards the store.
 pub(crate) struct Control {
     settings: Settings,
-    delivering: Arc<Delivering>,
+    delivering: Arc<DeliveryContext>,
     lifecycle: Arc<Lifecycle>,
     roster: RefCell<Roster>,
     upstreams_reading: Reading,
@@ -64,7 +64,7 @@
 impl Control {
     pub(crate) fn new(
         settings: Settings,
-        delivering: Arc<Delivering>,
+        delivering: Arc<DeliveryContext>,
         lifecycle: Arc<Lifecycle>,
         traffic: Arc<Traffic>,
         executor: &Rc<LocalExecutor<'static>>,
@@ -95,7 +95,7 @@
     }
 
     /// Starts everything on the executor.
-    pub(crate) fn start(self: &Rc<Self>, listener: TcpListener, suspicions: Receiver<SuspicionChange>) {
+    pub(crate) fn start(self: &Rc<Self>, listener: TcpListener, suspicions: Receiver<QuarantineChange>) {
         let serving = serve_fleet(
             listener,
             self.settings.fleet.key.clone(),
@@ -121,7 +121,7 @@
     /// Takes this gateway's part of what all share, by how many are known.
     fn divide(&self) {
         let gateways = self.roster.borrow().known_count();
-        self.delivering.retries.divide_among(gateways);
+        self.delivering.retry_budgets.set_router_count(gateways);
         self.delivering.upstreams.divide_among(gateways);
     }
 
@@ -146,8 +146,8 @@
         control.peer_states.borrow_mut().evict_idle(now);
         control.delivering.upstreams.prune();
         control.delivering.quarantine.prune();
-        control.delivering.crash_looks.keep_only(|upstream| control.delivering.upstreams.lists(upstream));
+        control.delivering.crash_probes.retain(|upstream| control.delivering.upstreams.lists(upstream));
         control.delivering.pacing.prune();
-        control.delivering.pool.prune();
+        control.delivering.connection_pool.prune();
     }
 }
--- a/crates/bendhinge_gateway/src/control/pages.rs
+++ b/crates/bendhinge_gateway/src/control/pages.rs
@@ -203,7 +203,7 @@
         let request = request.body(empty_body()).map_err(|error| TranslateError::new("the path", &error))?;
         let time = FetchTime { silence: store.call, whole };
         let fetched: Fetched =
-            fetch(&self.delivering.pool, store.address, request, LARGEST_PAGE, time).await?;
+            fetch(&self.delivering.connection_pool, store.address, request, LARGEST_PAGE, time).await?;
         if fetched.status != StatusCode::OK {
             return Err(FetchError::Status(fetched.status).into());
         }
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -128,11 +128,11 @@
 
     async fn listed_by(&self, upstream: &UpstreamEntry) -> Vec<ObservedRead> {
         let dialect = &self.delivering.dialect;
-        let pool = &self.delivering.pool;
+        let pool = &self.delivering.connection_pool;
         let fetched = fetch_path(pool, upstream.address, dialect.kept_path(), LIST_TIME).await;
         let Ok(Fetched { status, headers, body }) = fetched else { return Vec::new() };
         // Were another at the address by now, the one that is meant would be gone: what is kept from it is no loss.
-        self.delivering.note_availability(None, upstream, dialect.read_availability(status, &headers));
+        self.delivering.record_availability(None, upstream, dialect.read_availability(status, &headers));
         if status != StatusCode::OK {
             return Vec::new();
         }
--- a/crates/bendhinge_gateway/src/control/store.rs
+++ b/crates/bendhinge_gateway/src/control/store.rs
@@ -13,7 +13,7 @@
 
 use super::Control;
 use super::pages::{Contents, Found};
-use crate::delivery::Delivering;
+use crate::delivery::DeliveryContext;
 use crate::dialect::{ForeignEntry, LatestChanges, StorePart, StoredRules};
 
 /// How often a gateway whose turn it is not looks whether it has become so.
@@ -220,7 +220,7 @@
     fn evidence_is_lost(&self) -> bool {
         let now = bendhinge_clock::now();
         let lost = self.lost_ages();
-        let Delivering { rules, upstreams, .. } = &*self.delivering;
+        let DeliveryContext { rules, upstreams, .. } = &*self.delivering;
         rules.age(now).is_some_and(|age| age > lost.rules)
             || upstreams.age(now).is_some_and(|age| age > lost.upstreams)
     }
@@ -235,7 +235,7 @@
     fn note_foreign(&self, foreign: &BTreeSet<ForeignEntry>) {
         /// Lines for one read, whatever was written there.
         const MOST_LINES: usize = 16;
-        let Delivering { log, metrics, .. } = &*self.delivering;
+        let DeliveryContext { log, metrics, .. } = &*self.delivering;
         metrics.foreign_entries(foreign.len());
         let before = self.foreign.replace(foreign.clone());
         for came in foreign.difference(&before).take(MOST_LINES) {
@@ -280,7 +280,7 @@
         drained.sort_unstable();
         drained.dedup();
         let now = bendhinge_clock::now();
-        let Delivering { rules: held_rules, upstreams, .. } = &*self.delivering;
+        let DeliveryContext { rules: held_rules, upstreams, .. } = &*self.delivering;
         match (rules, held_rules.known(now)) {
             (Some(rules), _) => self.take_stored_rules(rules, at, began),
             (None, Some(held)) => {
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -1,4 +1,4 @@
-//! One send to one upstream, up to the point from which its answer is passed on.
+//! Sends a request once to one upstream and reads the response until it can be relayed to the caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,237 +14,238 @@
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use smol::Timer;
 
-use super::race::Sent;
-use super::{Delivering, Turn};
+use super::race::SendRecord;
+use super::{DeliveryContext, InboundRequest};
 use crate::dialect::{AnswerFields, AttemptFields, Availability};
 use crate::knowledge::Chosen;
 
-/// A request that must not run twice goes on a connection that was used this lately, or on a new
-/// one: an upstream may forget one that stands idle without a word.
-const FRESH_CONNECTION: Duration = Duration::from_millis(900);
+/// Maximum idle time of a reused connection for requests that must not run twice. Upstreams may close idle
+/// connections without notice.
+const MAX_CONNECTION_IDLE_TIME: Duration = Duration::from_millis(900);
 
-/// An answer whose head is there.
-pub(super) struct Attempt {
-    pub(super) sent: Sent,
+/// The response of an upstream, after its head has been received.
+pub(super) struct UpstreamResponse {
+    pub(super) record: SendRecord,
     pub(super) chosen: Chosen,
     pub(super) head: response::Parts,
-    pub(super) body: AttemptBody,
+    pub(super) body: UpstreamBody,
 }
 
-/// The body of an answer.
-pub(super) enum AttemptBody {
-    /// Gathered and found whole.
-    Whole(Bytes),
-    /// A stream, still on its connection.
+/// The body of an upstream's response.
+pub(super) enum UpstreamBody {
+    /// A body that was received completely.
+    Complete(Bytes),
+    /// An event stream that is still read from its connection.
     Stream(Incoming, Connection),
 }
 
-/// A send that ended without an answer that may be passed on, with an answer of the upstream
-/// that it failed.
-pub(super) struct Ended {
+/// A failed attempt, with the upstream's error response, if there is one.
+pub(super) struct SendError {
     pub(super) end: SendEnd,
-    pub(super) failure: Option<Box<FailureAnswer>>,
+    pub(super) error_response: Option<Box<ErrorResponse>>,
 }
 
-/// An upstream's whole answer that it failed.
-pub(super) struct FailureAnswer {
+/// A complete error response of an upstream.
+pub(super) struct ErrorResponse {
     pub(super) head: response::Parts,
     pub(super) body: Bytes,
 }
 
-impl From<SendEnd> for Ended {
+impl From<SendEnd> for SendError {
     fn from(end: SendEnd) -> Self {
-        Self { end, failure: None }
+        Self { end, error_response: None }
     }
 }
 
-/// A send that is to be made.
-pub(super) struct NewSend {
-    pub(super) sent: Sent,
+/// The parameters of an attempt.
+pub(super) struct AttemptParams {
+    pub(super) record: SendRecord,
     pub(super) chosen: Chosen,
-    /// How long it may take.
-    pub(super) left: Duration,
-    /// The event after which the upstream is to go on.
+    /// The time left until the request's deadline.
+    pub(super) timeout: Duration,
+    /// The ID of the last event that was received; the upstream resumes the stream after it.
     pub(super) resume_after: Option<String>,
 }
 
-/// How long after a request's time is over its upstream's answer is still listened for. One that lets requests wait for
-/// a place turns them away just then, and may ask for rest: its answer is a way, some milliseconds, behind. Above that it
-/// is what a box with an eighth of a core needs to come to it.
-const LISTENED_AFTER: Duration = Duration::from_millis(100);
+/// How long a response is still read after the request's deadline, in the background. An upstream that queues
+/// requests rejects them at the deadline, and its response may contain its load and a backoff.
+const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Sends the turn to the chosen upstream. When its time is over, that is its end; what the upstream says right after is
-/// heard in the background.
-pub(super) async fn attempt(
-    delivering: Arc<Delivering>,
-    turn: Arc<Turn>,
-    send: NewSend,
-) -> Result<Attempt, Ended> {
-    let tasks = Arc::clone(&delivering.tasks);
-    let left = send.left;
-    let mut sending = Box::pin(send_and_take(delivering, turn, send));
-    let in_time = async { Some((&mut sending).await) };
-    if let Some(ended) = in_time.or(after(left)).await {
-        return ended;
+/// Sends the request to the chosen upstream and waits for the response until the request's deadline. A
+/// response that arrives shortly after the deadline only updates what is known about the upstream.
+pub(super) async fn send_to_upstream(
+    context: Arc<DeliveryContext>,
+    inbound: Arc<InboundRequest>,
+    params: AttemptParams,
+) -> Result<UpstreamResponse, SendError> {
+    let tasks = Arc::clone(&context.tasks);
+    let timeout = params.timeout;
+    let mut exchange_future = Box::pin(send_and_receive(context, inbound, params));
+    let before_deadline = async { Some((&mut exchange_future).await) };
+    if let Some(result) = before_deadline.or(none_after(timeout)).await {
+        return result;
     }
-    let listening = async move {
-        let heard = async { Some(sending.await) };
-        // Nobody waits for it: what it says of its upstream was noted as it came.
-        drop(heard.or(after(LISTENED_AFTER)).await);
+    let late_response_task = async move {
+        let late_result = async { Some(exchange_future.await) };
+        // The response itself is dropped; its load and availability fields were recorded on arrival.
+        drop(late_result.or(none_after(LATE_RESPONSE_TIMEOUT)).await);
     };
-    tasks.spawn(listening).detach();
+    tasks.spawn(late_response_task).detach();
     Err(SendEnd::Silent.into())
 }
 
-async fn after<T>(time: Duration) -> Option<T> {
+async fn none_after<T>(time: Duration) -> Option<T> {
     Timer::after(time).await;
     None
 }
 
-async fn send_and_take(
-    delivering: Arc<Delivering>,
-    turn: Arc<Turn>,
-    send: NewSend,
-) -> Result<Attempt, Ended> {
-    let NewSend { sent, chosen, left, resume_after } = send;
-    let request = outgoing(&delivering, &turn, &chosen, left, resume_after.as_deref());
-    let (answer, connection) = exchange(&delivering, &turn, &chosen, request).await?;
-    let (head, body) = take_answer(&delivering, &turn, &chosen, answer, connection).await?;
-    Ok(Attempt { sent, chosen, head, body })
+async fn send_and_receive(
+    context: Arc<DeliveryContext>,
+    inbound: Arc<InboundRequest>,
+    params: AttemptParams,
+) -> Result<UpstreamResponse, SendError> {
+    let AttemptParams { record, chosen, timeout, resume_after } = params;
+    let request = build_request(&context, &inbound, &chosen, timeout, resume_after.as_deref());
+    let (response, connection) = send_with_reconnect(&context, &inbound, &chosen, request).await?;
+    let (head, body) = receive_response(&context, &inbound, &chosen, response, connection).await?;
+    Ok(UpstreamResponse { record, chosen, head, body })
 }
 
-fn outgoing(
-    delivering: &Delivering,
-    turn: &Turn,
+fn build_request(
+    context: &DeliveryContext,
+    inbound: &InboundRequest,
     chosen: &Chosen,
-    left: Duration,
+    timeout: Duration,
     resume_after: Option<&str>,
 ) -> Request<Body> {
-    let mut request = Request::new(full_body(turn.body.clone()));
-    *request.method_mut() = turn.head.method.clone();
-    *request.uri_mut() = turn.head.uri.clone();
-    *request.headers_mut() = turn.head.headers.clone();
+    let mut request = Request::new(full_body(inbound.body.clone()));
+    *request.method_mut() = inbound.head.method.clone();
+    *request.uri_mut() = inbound.head.uri.clone();
+    *request.headers_mut() = inbound.head.headers.clone();
     let fields = AttemptFields {
         upstream: &chosen.entry,
-        time_left: left,
-        customer: turn.customer.as_ref().map(|customer| &customer.name),
-        priority: turn.priority,
+        time_left: timeout,
+        customer: inbound.customer.as_ref().map(|customer| &customer.name),
+        priority: inbound.priority,
         fetch_from: chosen.fetch_from,
         resume_after,
     };
-    delivering.dialect.write_attempt(request.headers_mut(), &fields);
+    context.dialect.write_attempt(request.headers_mut(), &fields);
     request
 }
 
-async fn exchange(
-    delivering: &Delivering,
-    turn: &Turn,
+async fn send_with_reconnect(
+    context: &DeliveryContext,
+    inbound: &InboundRequest,
     chosen: &Chosen,
     request: Request<Body>,
-) -> Result<(Response<Incoming>, Connection), Ended> {
+) -> Result<(Response<Incoming>, Connection), SendError> {
     let address = chosen.entry.address;
-    let connecting = if turn.route.kind.is_retryable() {
-        delivering.pool.connection(address).await
+    let connecting = if inbound.route.kind.is_retryable() {
+        context.connection_pool.connection(address).await
     } else {
-        delivering.pool.connection_used_within(address, FRESH_CONNECTION).await
+        context.connection_pool.connection_used_within(address, MAX_CONNECTION_IDLE_TIME).await
     };
     let mut connection = connecting.map_err(|_| SendEnd::NotConnected)?;
-    // Connecting may have taken long, or the process may have been frozen meanwhile.
-    if !delivering.may_still_be_sent(turn, chosen) {
+    // The deadline or the lease may have expired while the connection was established or the process was
+    // suspended.
+    if !context.may_be_sent(inbound, chosen) {
         return Err(SendEnd::NotSent.into());
     }
-    match send(&mut connection, request).await {
-        Ok(answer) => Ok((answer, connection)),
-        Err(NotAnswered::Unsent(request)) if connection.reused => {
-            // An idle connection that the upstream had closed says nothing about the upstream.
-            connection = delivering.pool.connect(address).await.map_err(|_| SendEnd::NotConnected)?;
-            if !delivering.may_still_be_sent(turn, chosen) {
+    match send_on(&mut connection, request).await {
+        Ok(response) => Ok((response, connection)),
+        Err(ExchangeError::NotSent(request)) if connection.reused => {
+            // The upstream closed an idle connection, which is no sign of a failure.
+            connection = context.connection_pool.connect(address).await.map_err(|_| SendEnd::NotConnected)?;
+            if !context.may_be_sent(inbound, chosen) {
                 return Err(SendEnd::NotSent.into());
             }
-            let answer = send(&mut connection, *request).await.map_err(|failure| failure.end())?;
-            Ok((answer, connection))
+            let response = send_on(&mut connection, *request).await.map_err(|failure| failure.end())?;
+            Ok((response, connection))
         }
         Err(failure) => Err(failure.end().into()),
     }
 }
 
-enum NotAnswered {
-    Unsent(Box<Request<Body>>),
+enum ExchangeError {
+    NotSent(Box<Request<Body>>),
     Ended(SendEnd),
 }
 
-impl NotAnswered {
+impl ExchangeError {
     const fn end(&self) -> SendEnd {
         match self {
-            Self::Unsent(_) => SendEnd::NotSent,
+            Self::NotSent(_) => SendEnd::NotSent,
             Self::Ended(end) => *end,
         }
     }
 }
 
-async fn send(
+async fn send_on(
     connection: &mut Connection,
     request: Request<Body>,
-) -> Result<Response<Incoming>, NotAnswered> {
+) -> Result<Response<Incoming>, ExchangeError> {
     connection.send(request).await.map_err(|failure| match failure {
-        SendFailure::NotSent(request) => NotAnswered::Unsent(request),
-        SendFailure::Unknown(error) if error.is_parse() => NotAnswered::Ended(SendEnd::Spoilt),
-        SendFailure::Unknown(_) => NotAnswered::Ended(SendEnd::Lost),
+        SendFailure::NotSent(request) => ExchangeError::NotSent(request),
+        SendFailure::Unknown(error) if error.is_parse() => ExchangeError::Ended(SendEnd::Spoilt),
+        SendFailure::Unknown(_) => ExchangeError::Ended(SendEnd::Lost),
     })
 }
 
-/// Decides whether an answer may be passed on, and whether as it comes or only when seen whole.
-async fn take_answer(
-    delivering: &Arc<Delivering>,
-    turn: &Turn,
+/// Decides whether a response is relayed to the caller, and if so as a stream or after it was read
+/// completely.
+async fn receive_response(
+    context: &Arc<DeliveryContext>,
+    inbound: &InboundRequest,
     chosen: &Chosen,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
     connection: Connection,
-) -> Result<(response::Parts, AttemptBody), Ended> {
-    let (head, body) = answer.into_parts();
-    let fields = delivering.dialect.read_answer(&head);
-    if fields.id != turn.call.id {
-        // A late answer to an earlier request: nothing on this connection can be trusted.
+) -> Result<(response::Parts, UpstreamBody), SendError> {
+    let (head, body) = response.into_parts();
+    let fields = context.dialect.read_answer(&head);
+    if fields.id != inbound.fields.id {
+        // The response belongs to an earlier request, so the connection can no longer be trusted.
         return Err(SendEnd::Spoilt.into());
     }
     if !fields.is_another {
-        delivering.note_said(turn, &chosen.entry, &fields);
+        context.record_reported_state(inbound, &chosen.entry, &fields);
     }
-    if let Some(end) = not_run(&fields) {
-        gather_and_return(delivering, &head, body, connection).await;
+    if let Some(end) = reported_not_run(&fields) {
+        drain_and_release(context, &head, body, connection).await;
         return Err(end.into());
     }
     let is_success = head.status.is_success();
     if is_success && !fields.is_stamped {
         return Err(SendEnd::Spoilt.into());
     }
-    if is_success && turn.route.kind.is_stream() && is_event_stream(&head.headers) {
-        return Ok((head, AttemptBody::Stream(body, connection)));
+    if is_success && inbound.route.kind.is_stream() && is_event_stream(&head.headers) {
+        return Ok((head, UpstreamBody::Stream(body, connection)));
     }
-    let whole = gather(delivering, &head, body, connection).await.map_err(|()| SendEnd::Lost)?;
-    if head.status.is_server_error() || promises_not_run(head.status) {
-        let failure = Some(Box::new(FailureAnswer { head, body: whole }));
-        return Err(Ended { end: SendEnd::Failed, failure });
+    let complete_body =
+        read_complete_body(context, &head, body, connection).await.map_err(|()| SendEnd::Lost)?;
+    if head.status.is_server_error() || implies_not_run(head.status) {
+        let error_response = Some(Box::new(ErrorResponse { head, body: complete_body }));
+        return Err(SendError { end: SendEnd::Failed, error_response });
     }
-    Ok((head, AttemptBody::Whole(whole)))
+    Ok((head, UpstreamBody::Complete(complete_body)))
 }
 
 fn is_event_stream(headers: &HeaderMap) -> bool {
-    let kind = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
-    kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
+    let content_type = headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
+    content_type.is_some_and(|content_type| content_type.starts_with("text/event-stream"))
 }
 
-/// Only an upstream that says so itself did not run a request.
-const fn not_run(fields: &AnswerFields) -> Option<SendEnd> {
+/// Returns the result of an attempt that the upstream explicitly reports as not run.
+const fn reported_not_run(fields: &AnswerFields) -> Option<SendEnd> {
     if fields.is_another {
         return Some(SendEnd::Replaced);
     }
     if fields.not_run { Some(SendEnd::Rejected) } else { None }
 }
 
-/// Statuses that promise that a request did not run. An upstream that answers with one without
-/// saying that it did not run it is not believed.
-pub(super) fn promises_not_run(status: StatusCode) -> bool {
+/// Whether the status implies that the request did not run. Such a status is not relayed if the upstream does
+/// not also report explicitly that it did not run the request.
+pub(super) fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
@@ -254,104 +255,110 @@
     )
 }
 
-async fn gather(
-    delivering: &Arc<Delivering>,
+async fn read_complete_body(
+    context: &Arc<DeliveryContext>,
     head: &response::Parts,
     body: Incoming,
     connection: Connection,
 ) -> Result<Bytes, ()> {
-    let whole = read_body(body, delivering.answer_bytes).await.map_err(|_| ())?;
-    delivering.return_connection(&head.headers, connection);
-    Ok(whole)
+    let complete_body = read_body(body, context.max_response_bytes).await.map_err(|_| ())?;
+    context.release_connection(&head.headers, connection);
+    Ok(complete_body)
 }
 
-/// Reads the short answer of an upstream that did not run the request, so that its connection can
-/// be used again; the request does not wait for it for long.
-async fn gather_and_return(
-    delivering: &Arc<Delivering>,
+/// Reads the response of an upstream that did not run the request so that the connection can be reused. Gives
+/// up after a short time because the request waits for it.
+async fn drain_and_release(
+    context: &Arc<DeliveryContext>,
     head: &response::Parts,
     body: Incoming,
     connection: Connection,
 ) {
-    const PATIENCE: Duration = Duration::from_millis(20);
+    const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
     let reading = async {
-        let _ = gather(delivering, head, body, connection).await;
+        let _ = read_complete_body(context, head, body, connection).await;
     };
-    let too_long = async {
-        Timer::after(PATIENCE).await;
+    let drain_timeout = async {
+        Timer::after(DRAIN_TIMEOUT).await;
     };
-    reading.or(too_long).await;
+    reading.or(drain_timeout).await;
 }
 
-impl Delivering {
-    /// Puts a connection whose answer was read to its end back for reuse, in the background.
-    pub(super) fn return_connection(self: &Arc<Self>, headers: &HeaderMap, connection: Connection) {
-        if closes(headers) {
+impl DeliveryContext {
+    /// Returns a connection to the pool in the background, unless the upstream closes it. The response must
+    /// have been read completely.
+    pub(super) fn release_connection(self: &Arc<Self>, headers: &HeaderMap, connection: Connection) {
+        if has_connection_close(headers) {
             return;
         }
-        let keep = kept_alive_for(headers);
-        let delivering = Arc::clone(self);
+        let keep_alive = keep_alive_timeout(headers);
+        let context = Arc::clone(self);
         self.tasks
             .spawn(async move {
-                match keep {
-                    Some(keep) => delivering.pool.give_back_for(connection, keep).await,
-                    None => delivering.pool.give_back(connection).await,
+                match keep_alive {
+                    Some(keep_alive) => context.connection_pool.give_back_for(connection, keep_alive).await,
+                    None => context.connection_pool.give_back(connection).await,
                 }
             })
             .detach();
     }
 
-    /// Notes what an upstream says of itself in an answer to the turn.
-    fn note_said(&self, turn: &Turn, upstream: &UpstreamEntry, fields: &AnswerFields) {
+    /// Records the load and the availability that an upstream reports in a response.
+    fn record_reported_state(
+        &self,
+        inbound: &InboundRequest,
+        upstream: &UpstreamEntry,
+        fields: &AnswerFields,
+    ) {
         if let Some(load) = fields.load {
             self.upstreams.load_said(upstream.hash, load);
         }
-        let request = turn.call.id.as_ref().and_then(|id| id.to_str().ok());
-        self.note_availability(request, upstream, fields.availability);
+        let request_id = inbound.fields.id.as_ref().and_then(|id| id.to_str().ok());
+        self.record_availability(request_id, upstream, fields.availability);
     }
 
-    /// Notes what an upstream said of whether it wants further requests, in answer to a request if not to a question
-    /// of this gateway's own.
-    pub(crate) fn note_availability(
+    /// Records the availability that an upstream reports, in response to a caller's request or, if
+    /// `request_id` is `None`, to a request of this router.
+    pub(crate) fn record_availability(
         &self,
-        request: Option<&str>,
+        request_id: Option<&str>,
         upstream: &UpstreamEntry,
-        said: Availability,
+        availability: Availability,
     ) {
-        if let Some(rest) = said.rest {
-            let spared = self.upstreams.asked_to_rest(upstream.hash, rest);
+        if let Some(requested_backoff) = availability.rest {
+            let effective_backoff = self.upstreams.asked_to_rest(upstream.hash, requested_backoff);
             self.metrics.rest_asked();
-            self.log.rest_asked(request, &upstream.name, rest, spared);
+            self.log.rest_asked(request_id, &upstream.name, requested_backoff, effective_backoff);
         }
-        if said.is_leaving && self.upstreams.leaves(upstream.hash) {
+        if availability.is_leaving && self.upstreams.leaves(upstream.hash) {
             self.metrics.leaving_said();
-            self.log.leaving_said(request, &upstream.name);
+            self.log.leaving_said(request_id, &upstream.name);
         }
     }
 
-    /// Whether the turn may be sent now: rules may have changed, or grown too old to act on, and so may the
-    /// list of upstreams, or it may have been put under quarantine.
-    fn may_still_be_sent(&self, turn: &Turn, chosen: &Chosen) -> bool {
-        let is_in_time = bendhinge_clock::now() < turn.limit;
+    /// Whether the request may still be sent. Since the upstream was chosen, the deadline may have passed,
+    /// the rules or the upstream list may have changed or expired, or the request may have been quarantined.
+    fn may_be_sent(&self, inbound: &InboundRequest, chosen: &Chosen) -> bool {
+        let is_before_deadline = bendhinge_clock::now() < inbound.deadline;
         let is_quarantined =
-            || self.suspect(turn).is_some_and(|digest| self.quarantine.is_quarantined(digest));
-        is_in_time
+            || self.tracked_digest(inbound).is_some_and(|digest| self.quarantine.is_quarantined(digest));
+        is_before_deadline
             && !is_quarantined()
-            && turn.is_allowed(&self.rules)
+            && inbound.is_authorized(&self.rules)
             && self.upstreams.may_be_sent_to(chosen.entry.hash)
     }
 }
 
-fn closes(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
-    values.flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close"))
+    values.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// How long the upstream says it keeps an idle connection, less a margin for the way.
-fn kept_alive_for(headers: &HeaderMap) -> Option<Duration> {
-    const MARGIN: Duration = Duration::from_millis(300);
+/// Returns how long the upstream keeps an idle connection open, minus a margin for network latency.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
+    const LATENCY_MARGIN: Duration = Duration::from_millis(300);
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
-    let kept = Duration::from_secs(seconds.trim().parse().ok()?);
-    Some(kept.saturating_sub(MARGIN))
+    let timeout = Duration::from_secs(seconds.trim().parse().ok()?);
+    Some(timeout.saturating_sub(LATENCY_MARGIN))
 }
--- a/crates/bendhinge_gateway/src/delivery/crash.rs
+++ b/crates/bendhinge_gateway/src/delivery/crash.rs
@@ -1,4 +1,4 @@
-//! Looking whether upstreams whose connections were lost have crashed.
+//! Detects whether an upstream crashed after a connection to it was lost.
 
 use std::io::ErrorKind;
 use std::sync::{Arc, Mutex};
@@ -11,83 +11,88 @@
 use smol::Timer;
 use smol::lock::OnceCell;
 
-use super::race::Sent;
-use super::{Delivering, Turn};
+use super::race::SendRecord;
+use super::{DeliveryContext, InboundRequest};
 
-/// A process that ends closes one socket after the other: so long after the first, all are closed. What is lost
-/// within this time is looked into together: a busy upstream that crashes takes a hundred requests with it.
-const ENDING: Duration = Duration::from_millis(10);
+/// The time within which a terminating process closes all its sockets. Connections to an upstream that are
+/// lost within this time share one probe.
+const SOCKET_CLOSE_TIME: Duration = Duration::from_millis(10);
 
-/// A look into a loss, shared by all losses up to `until`.
+/// A probe of an upstream, shared by all connections that are lost up to `until`.
 #[derive(Clone)]
-struct Look {
+struct CrashProbe {
     until: Instant,
     has_crashed: Arc<OnceCell<bool>>,
 }
 
-/// The last look at each upstream.
+/// The latest probe of each upstream.
 #[derive(Default)]
-pub(crate) struct CrashLooks(Mutex<FxHashMap<NameHash, Look>>);
+pub(crate) struct CrashProbes(Mutex<FxHashMap<NameHash, CrashProbe>>);
 
-impl CrashLooks {
-    /// The look that tells of a loss at `lost`: one that is not taken yet, or one that found that the upstream has
-    /// crashed, which it stays in this life.
-    fn of(&self, upstream: NameHash, lost: Instant) -> Look {
-        let mut looks = self.0.lock().unwrap();
-        let held = looks.get(&upstream);
-        let tells = held.filter(|look| lost <= look.until || look.has_crashed.get() == Some(&true));
-        if let Some(look) = tells {
-            return look.clone();
+impl CrashProbes {
+    /// Returns the probe for a connection that was lost at `lost_at`: the latest one if it covers that time
+    /// or has already found the upstream crashed, otherwise a new one.
+    fn probe_for(&self, upstream: NameHash, lost_at: Instant) -> CrashProbe {
+        let mut probes = self.0.lock().unwrap();
+        let latest = probes.get(&upstream);
+        let applicable =
+            latest.filter(|probe| lost_at <= probe.until || probe.has_crashed.get() == Some(&true));
+        if let Some(probe) = applicable {
+            return probe.clone();
         }
-        let look = Look { until: lost + ENDING, has_crashed: Arc::default() };
-        looks.insert(upstream, look.clone());
-        look
+        let probe = CrashProbe { until: lost_at + SOCKET_CLOSE_TIME, has_crashed: Arc::default() };
+        probes.insert(upstream, probe.clone());
+        probe
     }
 
-    /// Forgets upstreams that are gone.
-    pub(crate) fn keep_only(&self, listed: impl Fn(NameHash) -> bool) {
-        self.0.lock().unwrap().retain(|upstream, _| listed(*upstream));
+    /// Removes the probes of upstreams that are no longer listed.
+    pub(crate) fn retain(&self, is_listed: impl Fn(NameHash) -> bool) {
+        self.0.lock().unwrap().retain(|upstream, _| is_listed(*upstream));
     }
 }
 
-/// Looks in the background whether the upstream crashed to which the turn was `sent`, and notes what it finds. Until
-/// then the send counts as under way, so that a request that may already be the third to crash is not sent on.
-pub(super) fn look_into(delivering: &Arc<Delivering>, turn: &Arc<Turn>, sent: Sent) {
-    let lost = bendhinge_clock::now();
-    let (delivering, turn) = (Arc::clone(delivering), Arc::clone(turn));
-    let tasks = Arc::clone(&delivering.tasks);
-    let noting = async move {
-        if has_crashed(&delivering, &sent.upstream, lost).await {
-            let number = turn.call.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
-            let digest = turn.digest(&delivering.identities);
-            delivering.quarantine.crashed(digest, number, &sent.upstream, sent.at, lost);
+/// Checks in the background whether the upstream crashed, and records the crash against the request. The send
+/// counts as in flight until then, so that the request is not retried before the crash is counted.
+pub(super) fn detect_crash(
+    context: &Arc<DeliveryContext>,
+    inbound: &Arc<InboundRequest>,
+    record: SendRecord,
+) {
+    let lost_at = bendhinge_clock::now();
+    let (context, inbound) = (Arc::clone(context), Arc::clone(inbound));
+    let tasks = Arc::clone(&context.tasks);
+    let detection = async move {
+        if has_crashed(&context, &record.upstream, lost_at).await {
+            let request_id = inbound.fields.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
+            let digest = inbound.digest(&context.identity_key);
+            context.quarantine.record_crash(digest, request_id, &record.upstream, record.started_at, lost_at);
         }
-        // The whole of it is held until here: what is dropped with it says that the send has ended.
-        drop(sent);
+        // Dropping the record ends the tracked send, so it is kept until the crash is recorded.
+        drop(record);
     };
-    tasks.spawn(noting).detach();
+    tasks.spawn(detection).detach();
 }
 
-async fn has_crashed(delivering: &Delivering, upstream: &UpstreamEntry, lost: Instant) -> bool {
-    if !delivering.upstreams.takes_work(upstream.hash) {
-        // One that leaves ends with what it still runs.
+async fn has_crashed(context: &DeliveryContext, upstream: &UpstreamEntry, lost_at: Instant) -> bool {
+    if !context.upstreams.takes_work(upstream.hash) {
+        // An upstream that is leaving closes its connections when it exits.
         return false;
     }
-    let look = delivering.crash_looks.of(upstream.hash, lost);
-    *look.has_crashed.get_or_init(|| is_refused_by(delivering, upstream)).await
+    let probe = context.crash_probes.probe_for(upstream.hash, lost_at);
+    *probe.has_crashed.get_or_init(|| refuses_connections(context, upstream)).await
 }
 
-/// Whether nothing listens where the upstream was: its process has ended. One that lives has other connections that
-/// stand, in use or idle, or takes another, which is kept for use: one that is busy is not to be asked for a connection
-/// that it may not have to give. A box that is gone, or the way to it, gives no answer instead.
-async fn is_refused_by(delivering: &Delivering, upstream: &UpstreamEntry) -> bool {
-    Timer::after(ENDING).await;
-    if delivering.upstreams.has_own(upstream.hash) || delivering.pool.has_idle(upstream.address) {
+/// Whether the upstream's address refuses connections, which means that its process has ended. Requests in
+/// progress or an idle connection show that it is running; a new connection is made only without these, since
+/// a busy upstream may have none left. An unreachable box does not answer, which is not a crash.
+async fn refuses_connections(context: &DeliveryContext, upstream: &UpstreamEntry) -> bool {
+    Timer::after(SOCKET_CLOSE_TIME).await;
+    if context.upstreams.has_own(upstream.hash) || context.connection_pool.has_idle(upstream.address) {
         return false;
     }
-    match delivering.pool.connect(upstream.address).await {
+    match context.connection_pool.connect(upstream.address).await {
         Ok(connection) => {
-            delivering.pool.give_back(connection).await;
+            context.connection_pool.give_back(connection).await;
             false
         }
         Err(ConnectError::Io(error)) => error.kind() == ErrorKind::ConnectionRefused,
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -1,4 +1,5 @@
-//! The duty of delivery: sends until there is one answer, and passing it back whole.
+//! Delivers requests: sends each one, with retries, until there is a response, and relays the response to the
+//! caller.
 
 mod attempt;
 mod crash;
@@ -20,93 +21,98 @@
 use hyper::http::request;
 use rand::Rng;
 
-use self::attempt::{Attempt, AttemptBody, Ended, FailureAnswer, NewSend, attempt, promises_not_run};
-pub(crate) use self::crash::CrashLooks;
-use self::crash::look_into;
-use self::race::{FailedSend, Sending, Sent, race};
-use self::relay::{Relay, Source, relayed};
+use self::attempt::{
+    AttemptParams, ErrorResponse, SendError, UpstreamBody, UpstreamResponse, implies_not_run,
+    send_to_upstream,
+};
+pub(crate) use self::crash::CrashProbes;
+use self::crash::detect_crash;
+use self::race::{FailedSend, PendingSend, SendRecord, race};
+use self::relay::{Relay, StreamSource, relay_body};
 use crate::dialect::{CallFields, Dialect};
-use crate::intake::Refused;
+use crate::intake::Refusal;
 use crate::intake::headers;
 use crate::knowledge::{Chosen, PlacementQuestion, RulesKeeper, UpstreamView};
 use crate::lifecycle::InProgress;
 use crate::log::{Log, RequestLine};
 use crate::metrics::Metrics;
 use crate::pacing::Pacing;
-use crate::quarantine::{Kept, QuarantineKeeper, WatchedSend};
-use crate::retries::Retries;
+use crate::quarantine::{SendRefusal, SharedQuarantine, TrackedSend};
+use crate::retries::RetryBudgets;
 
-/// What delivery needs of the other duties.
-pub(crate) struct Delivering {
+/// The shared state that delivery uses.
+pub(crate) struct DeliveryContext {
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) rules: Arc<RulesKeeper>,
     pub(crate) upstreams: Arc<UpstreamView>,
-    pub(crate) retries: Retries,
+    pub(crate) retry_budgets: RetryBudgets,
     pub(crate) pacing: Pacing,
-    pub(crate) identities: IdentityKey,
-    pub(crate) quarantine: Arc<QuarantineKeeper>,
-    pub(crate) crash_looks: CrashLooks,
-    pub(crate) pool: Pool,
+    pub(crate) identity_key: IdentityKey,
+    pub(crate) quarantine: Arc<SharedQuarantine>,
+    pub(crate) crash_probes: CrashProbes,
+    pub(crate) connection_pool: Pool,
     pub(crate) tasks: Tasks,
     pub(crate) log: Log,
     pub(crate) metrics: Metrics,
-    pub(crate) answer_bytes: usize,
+    pub(crate) max_response_bytes: usize,
 }
 
-/// One request that is allowed.
-pub(crate) struct Turn {
-    pub(crate) call: CallFields,
+/// A request that was authorized and is to be sent to an upstream.
+pub(crate) struct InboundRequest {
+    pub(crate) fields: CallFields,
     pub(crate) route: Arc<Route>,
     pub(crate) pool: PoolName,
     pub(crate) customer: Option<Arc<Customer>>,
     pub(crate) priority: u8,
-    /// The head as it goes upstream, but for what each attempt adds.
+    /// The head that is sent upstream, without the headers that each attempt adds.
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
-    pub(crate) began: Instant,
-    /// When it must have its final answer.
-    pub(crate) limit: Instant,
+    pub(crate) received_at: Instant,
+    /// The time by which the final response is due.
+    pub(crate) deadline: Instant,
     pub(crate) tie_breaker: u64,
-    /// What tells it from all requests that are not the same, once that was asked for.
+    /// The digest that identifies equal requests, computed on first use.
     pub(crate) digest: OnceLock<RequestDigest>,
 }
 
-impl Delivering {
-    /// The digest of a request that may be suspected. Of others it is not worth its time, 13 us with 18 KB.
-    pub(crate) fn suspect(&self, turn: &Turn) -> Option<RequestDigest> {
-        let keeper = &self.quarantine;
-        let may_be = !keeper.is_empty() && keeper.may_know(turn.identity().hint(&self.identities));
-        may_be.then(|| turn.digest(&self.identities))
+impl DeliveryContext {
+    /// Returns the digest of a request that may be tracked by the quarantine. Other requests are not hashed.
+    pub(crate) fn tracked_digest(&self, inbound: &InboundRequest) -> Option<RequestDigest> {
+        let quarantine = &self.quarantine;
+        let may_be_tracked =
+            !quarantine.is_empty() && quarantine.may_contain(inbound.identity().hint(&self.identity_key));
+        may_be_tracked.then(|| inbound.digest(&self.identity_key))
     }
 
-    /// When a turn should come back if all upstreams that could take it asked for a rest.
-    fn all_rest_for(&self, turn: &Turn) -> Option<Duration> {
-        /// Those that are refused together come back over this part of the rest that is left, or over this time if that
-        /// is longer: the first upstream to end its rest is not to get all of them at once.
-        const SPREAD: f64 = 0.25;
-        const LEAST_SPREAD: Duration = Duration::from_millis(200);
-        let end = self.upstreams.first_rest_end(&turn.pool, turn.regions())?;
-        let left = end.since(bendhinge_clock::now());
-        Some(left + left.mul_f64(SPREAD).max(LEAST_SPREAD).mul_f64(rand::rng().random()))
+    /// Returns after which time the caller should retry if all upstreams that could serve the request have
+    /// requested a backoff.
+    fn remaining_backoff(&self, inbound: &InboundRequest) -> Option<Duration> {
+        /// Jitter as a fraction of the remaining backoff, but no less than the minimum, so that callers
+        /// refused together do not all return to the first upstream that is available again.
+        const JITTER_FRACTION: f64 = 0.25;
+        const MIN_JITTER: Duration = Duration::from_millis(200);
+        let end = self.upstreams.first_rest_end(&inbound.pool, inbound.allowed_regions())?;
+        let remaining = end.since(bendhinge_clock::now());
+        Some(remaining + remaining.mul_f64(JITTER_FRACTION).max(MIN_JITTER).mul_f64(rand::rng().random()))
     }
 
-    /// Whether requests to a pool are paced by what its upstreams answer: so they are where these say nothing
-    /// of their load. Engines that keep prompts say it, and an answer of theirs is late for other reasons, too.
+    /// Whether requests to a pool are paced by the responses of its upstreams. Upstreams that cache prompts
+    /// report their load instead, and their responses may be late for other reasons.
     fn is_paced(&self, pool: &PoolName) -> bool {
         let rules = self.rules.current();
         rules.is_some_and(|current| current.rules.pools.get(pool).is_none_or(|rule| !rule.caches_prompts))
     }
 }
 
-impl Turn {
-    fn asker(&self) -> Requester {
+impl InboundRequest {
+    fn requester(&self) -> Requester {
         let customer = self.customer.as_ref().map_or("", |customer| customer.name.as_str());
         Requester { priority: self.priority, customer: NameHash::of(customer) }
     }
 
-    /// Whether its key is still held by its customer, by rules that may be acted on.
-    pub(crate) fn is_allowed(&self, rules: &RulesKeeper) -> bool {
-        let (Some(key), Some(customer)) = (&self.call.key, &self.customer) else { return true };
+    /// Whether the customer still holds the key of the request, according to rules that have not expired.
+    pub(crate) fn is_authorized(&self, rules: &RulesKeeper) -> bool {
+        let (Some(key), Some(customer)) = (&self.fields.key, &self.customer) else { return true };
         if !rules.may_be_acted_on() {
             return false;
         }
@@ -114,13 +120,13 @@
         current.rules.customers.find_by_key(key).is_some_and(|holder| holder.name == customer.name)
     }
 
-    /// Where it may run, by its route and by its customer.
-    fn regions(&self) -> [&AllowedRegions; 2] {
+    /// Returns the regions that the route and the customer allow; both apply.
+    fn allowed_regions(&self) -> [&AllowedRegions; 2] {
         let route = &self.route.regions;
         [route, self.customer.as_ref().map_or(route, |customer| &customer.regions)]
     }
 
-    /// What tells it from all requests that are not the same.
+    /// Returns the digest that identifies equal requests.
     fn digest(&self, key: &IdentityKey) -> RequestDigest {
         *self.digest.get_or_init(|| self.identity().digest(key))
     }
@@ -135,310 +141,331 @@
     }
 
     fn time_left(&self) -> Duration {
-        self.limit.since(bendhinge_clock::now())
+        self.deadline.since(bendhinge_clock::now())
     }
 }
 
-/// Serves a request to its final answer.
+/// Sends a request and returns the final response.
 pub(crate) async fn deliver(
-    delivering: &Arc<Delivering>,
-    turn: Turn,
+    context: &Arc<DeliveryContext>,
+    inbound: InboundRequest,
     in_progress: InProgress,
-) -> Result<Response<Body>, Refused> {
-    if let Some(digest) = delivering.suspect(&turn) {
-        let refused =
-            |kept: Kept| Refused { digest: Some(digest), ..Refused::until(kept.code, kept.retry_after) };
-        delivering.quarantine.check(digest).map_err(refused)?;
+) -> Result<Response<Body>, Refusal> {
+    if let Some(digest) = context.tracked_digest(&inbound) {
+        let to_refusal = |refusal: SendRefusal| Refusal {
+            digest: Some(digest),
+            ..Refusal::with_retry_after(refusal.code, refusal.retry_after)
+        };
+        context.quarantine.check(digest).map_err(to_refusal)?;
     }
-    delivering.retries.first(&turn.pool);
-    // Before the pace: that would say to come back sooner than the first rest is over.
-    if let Some(rest) = delivering.all_rest_for(&turn) {
-        return Err(Refused::until(ResultCode::AllUpstreamsRest, rest));
+    context.retry_budgets.record_request(&inbound.pool);
+    // Checked before pacing, whose retry delay could be shorter than the backoff.
+    if let Some(backoff) = context.remaining_backoff(&inbound) {
+        return Err(Refusal::with_retry_after(ResultCode::AllUpstreamsRest, backoff));
     }
-    let is_paced = delivering.is_paced(&turn.pool);
-    if is_paced && let PacingDecision::Refused(after) = delivering.pacing.decide(&turn.pool, turn.asker()) {
-        return Err(Refused::until(ResultCode::AllUpstreamsAtBound, after));
+    let is_paced = context.is_paced(&inbound.pool);
+    if is_paced
+        && let PacingDecision::Refused(retry_after) =
+            context.pacing.decide(&inbound.pool, inbound.requester())
+    {
+        return Err(Refusal::with_retry_after(ResultCode::AllUpstreamsAtBound, retry_after));
     }
-    delivering.metrics.request();
+    context.metrics.request();
     let course = Course::new(bendhinge_delivery::CourseRules {
-        repeatable: turn.route.kind.is_retryable(),
-        attempts: turn.route.max_attempts,
+        repeatable: inbound.route.kind.is_retryable(),
+        attempts: inbound.route.max_attempts,
     });
-    let line = RequestLine::new(&turn);
-    let turn = Arc::new(turn);
-    let mut delivery =
-        Delivery { delivering: Arc::clone(delivering), turn, course, is_paced, tried: Vec::new(), line };
-    let resume_after = delivery.turn.call.resume_after.clone();
-    match delivery.next_answer(resume_after.as_deref()).await {
-        Ok(attempt) => Ok(delivery.pass_back(attempt, in_progress)),
-        Err(GivenUp::Failure(failure)) => Ok(delivery.pass_failure(*failure)),
-        Err(GivenUp::NotNow { code, retry_after }) => {
-            delivery.line.ended(&delivering.log, code.http_status(), Some(code), &delivery.course);
-            Err(Refused { was_sent: true, ..Refused::until(code, retry_after) })
+    let log_line = RequestLine::new(&inbound);
+    let inbound = Arc::new(inbound);
+    let mut delivery = Delivery {
+        context: Arc::clone(context),
+        inbound,
+        course,
+        is_paced,
+        tried_upstreams: Vec::new(),
+        log_line,
+    };
+    let resume_after = delivery.inbound.fields.resume_after.clone();
+    match delivery.next_response(resume_after.as_deref()).await {
+        Ok(response) => Ok(delivery.into_response(response, in_progress)),
+        Err(DeliveryError::ErrorResponse(response)) => Ok(delivery.error_response(*response)),
+        Err(DeliveryError::RetryLater { code, retry_after }) => {
+            delivery.log_line.ended(&context.log, code.http_status(), Some(code), &delivery.course);
+            Err(Refusal { was_sent: true, ..Refusal::with_retry_after(code, retry_after) })
         }
-        Err(GivenUp::Code(code)) => {
-            delivery.line.ended(&delivering.log, code.http_status(), Some(code), &delivery.course);
-            // Right after the start the first list is a moment away.
-            let needs_another_list = code == ResultCode::NoUpstream && delivering.upstreams.is_known();
-            let retry_after = needs_another_list.then(with_the_next_list);
-            Err(Refused { code, was_sent: true, retry_after, digest: None })
+        Err(DeliveryError::Code(code)) => {
+            delivery.log_line.ended(&context.log, code.http_status(), Some(code), &delivery.course);
+            // Right after the start, the first upstream list is expected within moments.
+            let awaits_next_list = code == ResultCode::NoUpstream && context.upstreams.is_known();
+            let retry_after = awaits_next_list.then(delay_until_next_list);
+            Err(Refusal { code, was_sent: true, retry_after, digest: None })
         }
     }
 }
 
-/// When a request should come back for which no upstream takes work: not before there can be another list.
-fn with_the_next_list() -> Duration {
-    /// Lists are read each 0.7 s and are known to all within as much again.
-    const MILLIS: std::ops::Range<u64> = 700..1_400;
-    Duration::from_millis(rand::rng().random_range(MILLIS))
+/// Returns the retry delay for a request to a pool without available upstreams: a retry before the next
+/// upstream list would fail again.
+fn delay_until_next_list() -> Duration {
+    /// Upstream lists are read every 0.7 s and reach all routers within the same time again.
+    const DELAY_RANGE_MS: std::ops::Range<u64> = 700..1_400;
+    Duration::from_millis(rand::rng().random_range(DELAY_RANGE_MS))
 }
 
-/// Why there is no answer to pass on.
-enum GivenUp {
-    /// The upstream answered that it failed.
-    Failure(Box<FailureAnswer>),
-    /// It did not run, and would not before so long a time.
-    NotNow {
+/// Why there is no response to relay.
+enum DeliveryError {
+    /// The upstream sent an error response.
+    ErrorResponse(Box<ErrorResponse>),
+    /// The request did not run; the caller should retry after the given delay.
+    RetryLater {
         code: ResultCode,
         retry_after: Duration,
     },
     Code(ResultCode),
 }
 
-/// One request on its way.
+/// The delivery of one request.
 struct Delivery {
-    delivering: Arc<Delivering>,
-    turn: Arc<Turn>,
+    context: Arc<DeliveryContext>,
+    inbound: Arc<InboundRequest>,
     course: Course,
-    /// Whether requests to its pool are paced.
+    /// Whether requests to the pool are paced.
     is_paced: bool,
-    tried: Vec<NameHash>,
-    line: RequestLine,
+    tried_upstreams: Vec<NameHash>,
+    log_line: RequestLine,
 }
 
 impl Delivery {
-    /// Sends until an upstream's answer can be passed on.
-    async fn next_answer(&mut self, resume_after: Option<&str>) -> Result<Attempt, GivenUp> {
+    /// Sends the request until an upstream's response can be relayed.
+    async fn next_response(&mut self, resume_after: Option<&str>) -> Result<UpstreamResponse, DeliveryError> {
         loop {
-            let sending = self.send(resume_after, self.course.has_spare_run())?;
-            match self.answer_to(sending, resume_after).await {
-                Ok(attempt) => {
-                    self.delivering.upstreams.answered(attempt.chosen.entry.hash);
-                    self.note_answer();
-                    self.delivering.metrics.first_byte(bendhinge_clock::now().since(self.turn.began));
-                    return Ok(attempt);
+            let send = self.start_send(resume_after, self.course.has_spare_run())?;
+            match self.await_response(send, resume_after).await {
+                Ok(response) => {
+                    self.context.upstreams.answered(response.chosen.entry.hash);
+                    self.record_response();
+                    self.context.metrics.first_byte(bendhinge_clock::now().since(self.inbound.received_at));
+                    return Ok(response);
                 }
-                Err(failed) => self.after(failed)?,
+                Err(failed) => self.handle_failure(failed)?,
             }
         }
     }
 
-    /// Begins a send to the upstream that is best now. `may_try` says whether it may be an
-    /// upstream's trial.
-    fn send(&mut self, resume_after: Option<&str>, may_try: bool) -> Result<Sending, GivenUp> {
-        let left = self.turn.time_left();
-        if left.is_zero() {
-            return Err(GivenUp::Code(self.course.final_code(true)));
+    /// Starts a send to the best upstream. `may_probe` says whether it may be the probe request of an ejected
+    /// upstream.
+    fn start_send(
+        &mut self,
+        resume_after: Option<&str>,
+        may_probe: bool,
+    ) -> Result<PendingSend, DeliveryError> {
+        let timeout = self.inbound.time_left();
+        if timeout.is_zero() {
+            return Err(DeliveryError::Code(self.course.final_code(true)));
         }
-        let watched = self.watch()?;
-        let chosen = self.choose(may_try)?;
-        self.tried.push(chosen.entry.hash);
-        let number = self.line.sent(&chosen);
-        self.delivering.metrics.list_age(chosen.list_age);
-        let sent = Sent::new(number, &chosen, watched);
-        let send =
-            NewSend { sent: sent.clone(), chosen, left, resume_after: resume_after.map(str::to_owned) };
-        let answer = attempt(Arc::clone(&self.delivering), Arc::clone(&self.turn), send);
-        Ok(Sending { sent, answer: Box::pin(answer) })
+        let tracked = self.track_send()?;
+        let chosen = self.choose_upstream(may_probe)?;
+        self.tried_upstreams.push(chosen.entry.hash);
+        let number = self.log_line.sent(&chosen);
+        self.context.metrics.list_age(chosen.list_age);
+        let record = SendRecord::new(number, &chosen, tracked);
+        let params = AttemptParams {
+            record: record.clone(),
+            chosen,
+            timeout,
+            resume_after: resume_after.map(str::to_owned),
+        };
+        let response = send_to_upstream(Arc::clone(&self.context), Arc::clone(&self.inbound), params);
+        Ok(PendingSend { record, response: Box::pin(response) })
     }
 
-    /// Waits for the answer to a send. If it is long in coming and the request may be sent once
-    /// more, that is done beside it, and the answer that comes first is taken: an upstream that is
-    /// silent may be lost, but may as well be about to answer.
-    async fn answer_to(
+    /// Waits for the response to a send. If it is slow and the request may be sent once more, sends a hedge
+    /// request to another upstream and takes the first response.
+    async fn await_response(
         &mut self,
-        mut first: Sending,
+        mut first: PendingSend,
         resume_after: Option<&str>,
-    ) -> Result<Attempt, FailedSend> {
+    ) -> Result<UpstreamResponse, FailedSend> {
         if !self.course.has_spare_run() {
-            return first.ended().await;
+            return first.result().await;
         }
-        if let Some(ended) = first.ended_within(self.patience()).await {
-            return ended;
+        if let Some(result) = first.result_within(self.hedge_delay()).await {
+            return result;
         }
-        let Some(second) = self.send_beside(resume_after) else { return first.ended().await };
-        let (ended, mut other) = race(first, second).await;
-        match ended {
-            Ok(attempt) => {
-                // Of a later send it says nothing that an earlier one was answered before it.
-                let is_later = other.sent.number > attempt.sent.number;
+        let Some(second) = self.start_hedge(resume_after) else { return first.result().await };
+        let (result, mut other) = race(first, second).await;
+        match result {
+            Ok(response) => {
+                // The hedge request is not late just because the first one was answered before it.
+                let is_later = other.record.number > response.record.number;
                 let end = if is_later { SendEnd::Overtaken } else { SendEnd::Silent };
-                self.note_end(&other.sent, end);
-                Ok(attempt)
+                self.record_send_end(&other.record, end);
+                Ok(response)
             }
             Err(failed) => {
-                self.note_end(&failed.sent, failed.ended.end);
-                other.ended().await
+                self.record_send_end(&failed.record, failed.error.end);
+                other.result().await
             }
         }
     }
 
-    /// How long a send may be silent before another is made beside it.
-    fn patience(&self) -> Duration {
-        /// The part of the route's target: what is left of it must do for the other's answer.
-        const SHARE_OF_TARGET: f64 = 0.7;
-        self.turn.route.target_latency.mul_f64(SHARE_OF_TARGET)
+    /// Returns how long to wait for a response before a hedge request is sent.
+    fn hedge_delay(&self) -> Duration {
+        /// Fraction of the route's target latency. The remainder is for the response to the hedge request.
+        const TARGET_LATENCY_FRACTION: f64 = 0.7;
+        self.inbound.route.target_latency.mul_f64(TARGET_LATENCY_FRACTION)
     }
 
-    /// A send beside one that is silent; `None` if it cannot be made.
-    fn send_beside(&mut self, resume_after: Option<&str>) -> Option<Sending> {
-        if !self.takes_second_send() {
+    /// Starts a hedge request; returns `None` if that is not possible.
+    fn start_hedge(&mut self, resume_after: Option<&str>) -> Option<PendingSend> {
+        if !self.try_retry() {
             return None;
         }
-        self.send(resume_after, false).ok()
+        self.start_send(resume_after, false).ok()
     }
 
-    /// Begins a send as far as it is suspected; `Err` if it must not be sent.
-    fn watch(&mut self) -> Result<Option<Arc<WatchedSend>>, GivenUp> {
-        let Some(digest) = self.delivering.suspect(&self.turn) else { return Ok(None) };
-        match self.delivering.quarantine.begin(digest) {
-            Ok(watched) => Ok(watched.map(Arc::new)),
-            Err(kept) => {
-                self.line.same_as(digest);
-                Err(self.not_now(kept.code, kept.retry_after))
+    /// Starts a tracked send if the quarantine tracks the request; returns `Err` if it must not be sent.
+    fn track_send(&mut self) -> Result<Option<Arc<TrackedSend>>, DeliveryError> {
+        let Some(digest) = self.context.tracked_digest(&self.inbound) else { return Ok(None) };
+        match self.context.quarantine.begin_send(digest) {
+            Ok(tracked) => Ok(tracked.map(Arc::new)),
+            Err(refusal) => {
+                self.log_line.same_as(digest);
+                Err(self.retry_later(refusal.code, refusal.retry_after))
             }
         }
     }
 
-    fn choose(&self, may_try: bool) -> Result<Chosen, GivenUp> {
-        if !self.turn.is_allowed(&self.delivering.rules) {
-            return Err(GivenUp::Code(self.unless_uncertain(ResultCode::ViewNotFresh)));
+    fn choose_upstream(&self, may_probe: bool) -> Result<Chosen, DeliveryError> {
+        if !self.inbound.is_authorized(&self.context.rules) {
+            return Err(DeliveryError::Code(self.code_if_not_run(ResultCode::ViewNotFresh)));
         }
-        let rules = self.delivering.rules.current();
-        let question = PlacementQuestion {
-            pool: &self.turn.pool,
-            rule: rules.as_ref().and_then(|current| current.rules.pools.get(&self.turn.pool)),
-            prompt: self.turn.call.prompt.as_ref(),
-            regions: self.turn.regions(),
-            tried: &self.tried,
-            may_try,
-            tie_breaker: self.turn.tie_breaker,
+        let rules = self.context.rules.current();
+        let query = PlacementQuestion {
+            pool: &self.inbound.pool,
+            rule: rules.as_ref().and_then(|current| current.rules.pools.get(&self.inbound.pool)),
+            prompt: self.inbound.fields.prompt.as_ref(),
+            regions: self.inbound.allowed_regions(),
+            tried: &self.tried_upstreams,
+            may_try: may_probe,
+            tie_breaker: self.inbound.tie_breaker,
         };
-        self.delivering.upstreams.choose(&question).ok_or_else(|| self.untaken())
+        self.context.upstreams.choose(&query).ok_or_else(|| self.no_upstream_error())
     }
 
-    /// Why there is no answer, in time, if no upstream takes the request or it may not be sent again.
-    fn untaken(&self) -> GivenUp {
-        match self.delivering.all_rest_for(&self.turn) {
-            Some(rest) => self.not_now(ResultCode::AllUpstreamsRest, rest),
-            None => GivenUp::Code(self.course.final_code(false)),
+    /// Returns the error for a request that no upstream accepts or that must not be sent again.
+    fn no_upstream_error(&self) -> DeliveryError {
+        match self.context.remaining_backoff(&self.inbound) {
+            Some(backoff) => self.retry_later(ResultCode::AllUpstreamsRest, backoff),
+            None => DeliveryError::Code(self.course.final_code(false)),
         }
     }
 
-    /// That the request is to come back later, unless it may have run.
-    fn not_now(&self, code: ResultCode, retry_after: Duration) -> GivenUp {
+    /// Returns the error that tells the caller to retry later, unless the request may have run.
+    fn retry_later(&self, code: ResultCode, retry_after: Duration) -> DeliveryError {
         match self.course.ran() {
-            bendhinge_codes::Ran::No => GivenUp::NotNow { code, retry_after },
-            _ => GivenUp::Code(self.course.final_code(false)),
+            bendhinge_codes::Ran::No => DeliveryError::RetryLater { code, retry_after },
+            _ => DeliveryError::Code(self.course.final_code(false)),
         }
     }
 
-    /// A code that says "not run" may only be used while no attempt may have run.
-    fn unless_uncertain(&self, code: ResultCode) -> ResultCode {
+    /// Returns `code`, which reports that the request did not run, or the final code if it may have run.
+    fn code_if_not_run(&self, code: ResultCode) -> ResultCode {
         if self.course.ran() == bendhinge_codes::Ran::No { code } else { self.course.final_code(false) }
     }
 
-    /// Notes how a send ended, for the request and for what is known of its upstream; `false` if no
-    /// other may follow.
-    fn note_end(&mut self, sent: &Sent, end: SendEnd) -> bool {
-        let Delivering { upstreams, metrics, log, .. } = &*self.delivering;
-        let Sent { number, upstream, at, .. } = sent;
-        self.line.send_ended(*number, end);
+    /// Records how a send ended, for the request and for its upstream; returns `false` if no further send may
+    /// follow.
+    fn record_send_end(&mut self, record: &SendRecord, end: SendEnd) -> bool {
+        let DeliveryContext { upstreams, metrics, log, .. } = &*self.context;
+        let SendRecord { number, upstream, started_at, .. } = record;
+        self.log_line.send_ended(*number, end);
         metrics.send_ended(end);
         match end {
             SendEnd::Rejected if self.is_paced => {
-                let upstreams = upstreams.working_in(&self.turn.pool);
-                self.delivering.pacing.turned_away(&self.turn.pool, upstream.hash, upstreams);
+                let upstream_count = upstreams.working_in(&self.inbound.pool);
+                self.context.pacing.record_rejection(&self.inbound.pool, upstream.hash, upstream_count);
             }
             SendEnd::Failed => {
-                self.note_answer();
-                self.note_whole_answer();
+                self.record_response();
+                self.record_complete_response();
             }
             SendEnd::Lost => {
-                self.line.same_as(self.turn.digest(&self.delivering.identities));
-                look_into(&self.delivering, &self.turn, sent.clone());
+                self.log_line.same_as(self.inbound.digest(&self.context.identity_key));
+                detect_crash(&self.context, &self.inbound, record.clone());
             }
             _ => {}
         }
-        if upstream_failure(end).is_some_and(|failure| upstreams.failed(upstream.hash, failure, *at)) {
+        if upstream_failure(end).is_some_and(|failure| upstreams.failed(upstream.hash, failure, *started_at))
+        {
             log.upstream_rests(&upstream.name, end);
         }
         self.course.ended(end)
     }
 
-    /// Notes, for the pace towards the pool, that an upstream answered.
-    fn note_answer(&self) {
+    /// Records a response for the pacing of the pool.
+    fn record_response(&self) {
         if !self.is_paced {
             return;
         }
-        let Turn { pool, began, route, .. } = &*self.turn;
-        self.delivering.pacing.answered(pool, *began, route.target_latency);
+        let InboundRequest { pool, received_at, route, .. } = &*self.inbound;
+        self.context.pacing.record_response(pool, *received_at, route.target_latency);
     }
 
-    /// Notes that an upstream answered the request to the end, and so did not crash under it.
-    fn note_whole_answer(&self) {
-        if let Some(digest) = self.delivering.suspect(&self.turn) {
-            self.delivering.quarantine.answered(digest);
+    /// Records a complete response, which means that the request did not crash the upstream.
+    fn record_complete_response(&self) {
+        if let Some(digest) = self.context.tracked_digest(&self.inbound) {
+            self.context.quarantine.record_response(digest);
         }
     }
 
-    /// Notes how a send ended; `Err` if it was the last.
-    fn after(&mut self, failed: FailedSend) -> Result<(), GivenUp> {
-        let FailedSend { sent, ended: Ended { end, failure } } = failed;
-        let may_go_on = self.note_end(&sent, end);
-        let time_is_over = self.turn.time_left().is_zero();
-        let affordable = || !self.course.needs_budget() || self.takes_second_send();
-        if may_go_on && !time_is_over && affordable() {
+    /// Records a failed send; returns `Err` if it is not retried.
+    fn handle_failure(&mut self, failed: FailedSend) -> Result<(), DeliveryError> {
+        let FailedSend { record, error: SendError { end, error_response } } = failed;
+        let may_retry = self.record_send_end(&record, end);
+        let is_past_deadline = self.inbound.time_left().is_zero();
+        let is_within_budget = || !self.course.needs_budget() || self.try_retry();
+        if may_retry && !is_past_deadline && is_within_budget() {
             return Ok(());
         }
-        Err(match failure {
-            Some(failure) if !promises_not_run(failure.head.status) => GivenUp::Failure(failure),
-            _ if time_is_over => GivenUp::Code(self.course.final_code(true)),
-            _ => self.untaken(),
+        Err(match error_response {
+            Some(error) if !implies_not_run(error.head.status) => DeliveryError::ErrorResponse(error),
+            _ if is_past_deadline => DeliveryError::Code(self.course.final_code(true)),
+            _ => self.no_upstream_error(),
         })
     }
 
-    /// Takes one further send of this gateway's share; `false` if there is none left.
-    fn takes_second_send(&self) -> bool {
-        self.delivering.retries.second(&self.turn.pool)
+    /// Takes a retry from the retry budget; returns `false` if the budget is exhausted.
+    fn try_retry(&self) -> bool {
+        self.context.retry_budgets.try_retry(&self.inbound.pool)
     }
 
-    fn pass_failure(&mut self, failure: FailureAnswer) -> Response<Body> {
-        let FailureAnswer { mut head, body } = failure;
-        self.line.ended(&self.delivering.log, head.status.as_u16(), None, &self.course);
-        headers::to_caller(&mut head.headers);
+    fn error_response(&mut self, response: ErrorResponse) -> Response<Body> {
+        let ErrorResponse { mut head, body } = response;
+        self.log_line.ended(&self.context.log, head.status.as_u16(), None, &self.course);
+        headers::prepare_for_caller(&mut head.headers);
         Response::from_parts(head, full_body(body))
     }
 
-    fn pass_back(mut self, attempt: Attempt, in_progress: InProgress) -> Response<Body> {
-        let Attempt { sent, chosen, mut head, body } = attempt;
+    fn into_response(mut self, response: UpstreamResponse, in_progress: InProgress) -> Response<Body> {
+        let UpstreamResponse { record, chosen, mut head, body } = response;
         let upstream_headers = head.headers.clone();
-        headers::to_caller(&mut head.headers);
+        headers::prepare_for_caller(&mut head.headers);
         match body {
-            AttemptBody::Whole(bytes) => {
-                self.note_whole_answer();
-                self.line.ended(&self.delivering.log, head.status.as_u16(), None, &self.course);
+            UpstreamBody::Complete(bytes) => {
+                self.record_complete_response();
+                self.log_line.ended(&self.context.log, head.status.as_u16(), None, &self.course);
                 Response::from_parts(head, full_body(bytes))
             }
-            AttemptBody::Stream(body, connection) => {
-                let source = Source { sent, _chosen: chosen, headers: upstream_headers, body, connection };
-                Response::from_parts(head, relayed(Relay::new(self, source, in_progress)))
+            UpstreamBody::Stream(body, connection) => {
+                let source =
+                    StreamSource { record, _chosen: chosen, headers: upstream_headers, body, connection };
+                Response::from_parts(head, relay_body(Relay::new(self, source, in_progress)))
             }
         }
     }
 }
 
-/// What the end of a send says about the upstream.
+/// Returns the failure to record for the upstream, if any.
 const fn upstream_failure(end: SendEnd) -> Option<UpstreamFailure> {
     match end {
         SendEnd::NotConnected => Some(UpstreamFailure::ConnectFailed),
--- a/crates/bendhinge_gateway/src/delivery/race.rs
+++ b/crates/bendhinge_gateway/src/delivery/race.rs
@@ -1,4 +1,4 @@
-//! Sends under way, of which two may race for the first answer.
+//! Sends in flight, two of which may race for the first response.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,65 +10,70 @@
 use futures_lite::FutureExt;
 use smol::Timer;
 
-use super::attempt::{Attempt, Ended};
+use super::attempt::{SendError, UpstreamResponse};
 use crate::knowledge::Chosen;
-use crate::quarantine::WatchedSend;
+use crate::quarantine::TrackedSend;
 
-type Answer = Pin<Box<dyn Future<Output = Result<Attempt, Ended>> + Send>>;
+type ResponseFuture = Pin<Box<dyn Future<Output = Result<UpstreamResponse, SendError>> + Send>>;
 
-/// A send, as its request and what is believed of its upstream know it.
+/// The data by which a send is recorded for its request and its upstream.
 #[derive(Clone)]
-pub(super) struct Sent {
-    /// Its place among the request's sends.
+pub(super) struct SendRecord {
+    /// The index among the sends of the request.
     pub(super) number: usize,
     pub(super) upstream: Arc<UpstreamEntry>,
-    /// When its upstream was chosen.
-    pub(super) at: Instant,
-    /// That others know of it, if its request is suspected.
-    _watched: Option<Arc<WatchedSend>>,
+    /// When the upstream was chosen.
+    pub(super) started_at: Instant,
+    /// Reports the send to other routers if the request is tracked by the quarantine.
+    _tracked: Option<Arc<TrackedSend>>,
 }
 
-impl Sent {
-    pub(super) fn new(number: usize, chosen: &Chosen, watched: Option<Arc<WatchedSend>>) -> Self {
-        Self { number, upstream: Arc::clone(&chosen.entry), at: chosen.at, _watched: watched }
+impl SendRecord {
+    pub(super) fn new(number: usize, chosen: &Chosen, tracked: Option<Arc<TrackedSend>>) -> Self {
+        Self { number, upstream: Arc::clone(&chosen.entry), started_at: chosen.at, _tracked: tracked }
     }
 }
 
-/// A send under way. Dropped, it is given up: its connection closes, which cancels the work at the
-/// upstream.
-pub(super) struct Sending {
-    pub(super) sent: Sent,
-    pub(super) answer: Answer,
+/// A send in flight. Dropping it closes the connection, which cancels the request at the upstream.
+pub(super) struct PendingSend {
+    pub(super) record: SendRecord,
+    pub(super) response: ResponseFuture,
 }
 
-/// A send that ended without an answer that can be passed on.
+/// A send that ended without a response that can be relayed.
 pub(super) struct FailedSend {
-    pub(super) sent: Sent,
-    pub(super) ended: Ended,
+    pub(super) record: SendRecord,
+    pub(super) error: SendError,
 }
 
-impl Sending {
-    /// Waits for its end.
-    pub(super) async fn ended(&mut self) -> Result<Attempt, FailedSend> {
-        let answer = (&mut self.answer).await;
-        answer.map_err(|ended| FailedSend { sent: self.sent.clone(), ended })
+impl PendingSend {
+    /// Waits for the result.
+    pub(super) async fn result(&mut self) -> Result<UpstreamResponse, FailedSend> {
+        let result = (&mut self.response).await;
+        result.map_err(|error| FailedSend { record: self.record.clone(), error })
     }
 
-    /// Waits for its end, but no longer than `patience`.
-    pub(super) async fn ended_within(&mut self, patience: Duration) -> Option<Result<Attempt, FailedSend>> {
-        let ended = async { Some(self.ended().await) };
-        let too_long = async {
-            Timer::after(patience).await;
+    /// Waits for the result for no longer than `timeout`.
+    pub(super) async fn result_within(
+        &mut self,
+        timeout: Duration,
+    ) -> Option<Result<UpstreamResponse, FailedSend>> {
+        let result = async { Some(self.result().await) };
+        let timer = async {
+            Timer::after(timeout).await;
             None
         };
-        ended.or(too_long).await
+        result.or(timer).await
     }
 }
 
-/// Waits until one of two sends ends; gives how it ended, and the other one.
-pub(super) async fn race(mut first: Sending, mut second: Sending) -> (Result<Attempt, FailedSend>, Sending) {
-    let first_ended = async { (first.ended().await, true) };
-    let second_ended = async { (second.ended().await, false) };
-    let (ended, is_first) = first_ended.or(second_ended).await;
-    (ended, if is_first { second } else { first })
+/// Waits until one of two sends ends; returns its result and the other send.
+pub(super) async fn race(
+    mut first: PendingSend,
+    mut second: PendingSend,
+) -> (Result<UpstreamResponse, FailedSend>, PendingSend) {
+    let first_result = async { (first.result().await, true) };
+    let second_result = async { (second.result().await, false) };
+    let (result, is_first) = first_result.or(second_result).await;
+    (result, if is_first { second } else { first })
 }
--- a/crates/bendhinge_gateway/src/delivery/relay.rs
+++ b/crates/bendhinge_gateway/src/delivery/relay.rs
@@ -1,4 +1,5 @@
-//! Passing a stream of events on as they come: whole, gone on with elsewhere, or visibly cut.
+//! Relays event streams to callers. An interrupted stream is resumed at another upstream or visibly
+//! truncated.
 
 use std::io;
 use std::pin::Pin;
@@ -17,61 +18,60 @@
 use smol::Timer;
 
 use super::Delivery;
-use super::attempt::{Attempt, AttemptBody};
-use super::race::Sent;
+use super::attempt::{UpstreamBody, UpstreamResponse};
+use super::race::SendRecord;
 use crate::knowledge::Chosen;
 use crate::lifecycle::InProgress;
 
-/// How often longer than the longest pause on time a stream may be silent before it goes on
-/// elsewhere, where it can.
-const SILENT_GAPS: u32 = 3;
+/// Number of target gaps between events after which a silent stream is resumed at another upstream.
+const MAX_SILENT_GAPS: u32 = 3;
 
-/// A stream on its way through. Dropped before its end, because its caller left, it drops the
-/// upstream's connection with it, which cancels the work there.
+/// A stream that is relayed to a caller. Dropping it, as when the caller disconnects, also drops the upstream
+/// connection, which cancels the request there.
 pub(super) struct Relay {
     delivery: Delivery,
     events: EventSplitter,
-    source: Option<Source>,
-    is_over: bool,
+    source: Option<StreamSource>,
+    is_finished: bool,
     _in_progress: InProgress,
 }
 
-/// The upstream that the stream comes from now.
-pub(super) struct Source {
-    pub(super) sent: Sent,
-    /// Its place at the upstream is held as long as the stream comes from there.
+/// The upstream that currently sends the stream.
+pub(super) struct StreamSource {
+    pub(super) record: SendRecord,
+    /// Counts the request towards the upstream's load until dropped.
     pub(super) _chosen: Chosen,
     pub(super) headers: HeaderMap,
     pub(super) body: Incoming,
     pub(super) connection: Connection,
 }
 
-/// What the upstream's side of the stream came to.
-enum Heard {
+/// The result of reading from the upstream.
+enum ReadOutcome {
     Bytes(Bytes),
     End,
-    Broke(SendEnd),
+    Interrupted(SendEnd),
 }
 
 impl Relay {
-    pub(super) fn new(delivery: Delivery, source: Source, in_progress: InProgress) -> Self {
+    pub(super) fn new(delivery: Delivery, source: StreamSource, in_progress: InProgress) -> Self {
         let events = EventSplitter::default();
-        Self { delivery, events, source: Some(source), is_over: false, _in_progress: in_progress }
+        Self { delivery, events, source: Some(source), is_finished: false, _in_progress: in_progress }
     }
 
-    /// The next whole events; `None` at the end, `Err` if the stream must look cut.
-    async fn next(&mut self) -> Option<io::Result<Bytes>> {
-        while !self.is_over {
-            match self.hear().await {
-                Heard::Bytes(bytes) => {
+    /// Returns the next complete events, `None` at the end, or `Err` to truncate the response visibly.
+    async fn next_events(&mut self) -> Option<io::Result<Bytes>> {
+        while !self.is_finished {
+            match self.read().await {
+                ReadOutcome::Bytes(bytes) => {
                     if let Some(events) = self.events.feed(&bytes) {
                         return Some(Ok(events));
                     }
                 }
-                Heard::End => return self.finish(),
-                Heard::Broke(end) => {
-                    if !self.go_on_elsewhere(end).await {
-                        return Some(Err(self.cut()));
+                ReadOutcome::End => return self.finish(),
+                ReadOutcome::Interrupted(end) => {
+                    if !self.resume_elsewhere(end).await {
+                        return Some(Err(self.truncate()));
                     }
                 }
             }
@@ -79,101 +79,102 @@
         None
     }
 
-    async fn hear(&mut self) -> Heard {
-        let patience = self.patience();
-        let Some(source) = &mut self.source else { return Heard::Broke(SendEnd::Lost) };
+    async fn read(&mut self) -> ReadOutcome {
+        let timeout = self.read_timeout();
+        let Some(source) = &mut self.source else { return ReadOutcome::Interrupted(SendEnd::Lost) };
         let reading = async {
             match source.body.frame().await {
-                None => Heard::End,
-                Some(Err(_)) => Heard::Broke(SendEnd::Lost),
-                Some(Ok(frame)) => Heard::Bytes(frame.into_data().unwrap_or_default()),
+                None => ReadOutcome::End,
+                Some(Err(_)) => ReadOutcome::Interrupted(SendEnd::Lost),
+                Some(Ok(frame)) => ReadOutcome::Bytes(frame.into_data().unwrap_or_default()),
             }
         };
-        let too_long = async {
-            Timer::after(patience).await;
-            Heard::Broke(SendEnd::Silent)
+        let timer = async {
+            Timer::after(timeout).await;
+            ReadOutcome::Interrupted(SendEnd::Silent)
         };
-        reading.or(too_long).await
+        reading.or(timer).await
     }
 
-    /// How long the next event is waited for: to the end of the request's time, unless the stream
-    /// can go on elsewhere.
-    fn patience(&self) -> Duration {
-        let left = self.delivery.turn.time_left();
-        match self.delivery.turn.route.target_gap {
-            Some(gap) if self.delivery.course.has_spare_run() => left.min(gap * SILENT_GAPS),
-            _ => left,
+    /// Returns how long to wait for the next event: until the request's deadline, or for less if the stream
+    /// can be resumed at another upstream.
+    fn read_timeout(&self) -> Duration {
+        let time_left = self.delivery.inbound.time_left();
+        match self.delivery.inbound.route.target_gap {
+            Some(gap) if self.delivery.course.has_spare_run() => time_left.min(gap * MAX_SILENT_GAPS),
+            _ => time_left,
         }
     }
 
     fn finish(&mut self) -> Option<io::Result<Bytes>> {
-        self.is_over = true;
+        self.is_finished = true;
         let rest = self.events.take_rest();
-        if let Some(Source { headers, connection, .. }) = self.source.take() {
-            self.delivery.delivering.return_connection(&headers, connection);
+        if let Some(StreamSource { headers, connection, .. }) = self.source.take() {
+            self.delivery.context.release_connection(&headers, connection);
         }
-        self.delivery.note_whole_answer();
-        let Delivery { line, delivering, course, .. } = &mut self.delivery;
-        line.ended(&delivering.log, 200, None, course);
+        self.delivery.record_complete_response();
+        let Delivery { log_line, context, course, .. } = &mut self.delivery;
+        log_line.ended(&context.log, 200, None, course);
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
-    /// Goes on behind the last whole event at another upstream; `false` if that cannot be.
-    async fn go_on_elsewhere(&mut self, end: SendEnd) -> bool {
-        // Dropping the connection cancels what is left of the run there.
+    /// Resumes the stream at another upstream after the last complete event; returns `false` if that is not
+    /// possible.
+    async fn resume_elsewhere(&mut self, end: SendEnd) -> bool {
+        // Closes the connection, which cancels the request at the upstream.
         let Some(source) = self.source.take() else { return false };
-        let sent = source.sent.clone();
+        let record = source.record.clone();
         drop(source);
-        let may_go_on = self.delivery.note_end(&sent, end);
-        if !may_go_on || !self.delivery.takes_second_send() {
+        let may_retry = self.delivery.record_send_end(&record, end);
+        if !may_retry || !self.delivery.try_retry() {
             return false;
         }
         self.events.restart();
-        let last = self.events.last_id().map(str::to_owned);
-        let last = last.or_else(|| self.delivery.turn.call.resume_after.clone());
-        match self.delivery.next_answer(last.as_deref()).await {
-            Ok(Attempt { sent, chosen, head, body: AttemptBody::Stream(body, connection) }) => {
-                self.source = Some(Source { sent, _chosen: chosen, headers: head.headers, body, connection });
+        let last_event_id = self.events.last_id().map(str::to_owned);
+        let last_event_id = last_event_id.or_else(|| self.delivery.inbound.fields.resume_after.clone());
+        match self.delivery.next_response(last_event_id.as_deref()).await {
+            Ok(UpstreamResponse { record, chosen, head, body: UpstreamBody::Stream(body, connection) }) => {
+                self.source =
+                    Some(StreamSource { record, _chosen: chosen, headers: head.headers, body, connection });
                 true
             }
             Ok(_) | Err(_) => false,
         }
     }
 
-    fn cut(&mut self) -> io::Error {
-        self.is_over = true;
+    fn truncate(&mut self) -> io::Error {
+        self.is_finished = true;
         self.source = None;
-        let Delivery { line, delivering, course, .. } = &mut self.delivery;
-        line.ended(&delivering.log, 200, Some(ResultCode::AnswerCutShort), course);
-        io::Error::other("the upstream's stream broke off")
+        let Delivery { log_line, context, course, .. } = &mut self.delivery;
+        log_line.ended(&context.log, 200, Some(ResultCode::AnswerCutShort), course);
+        io::Error::other("the upstream's event stream was interrupted")
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        if !self.is_over {
-            let Delivery { line, delivering, course, .. } = &mut self.delivery;
-            line.caller_left(&delivering.log, course);
+        if !self.is_finished {
+            let Delivery { log_line, context, course, .. } = &mut self.delivery;
+            log_line.caller_left(&context.log, course);
         }
     }
 }
 
-type Pieces = Pin<Box<dyn Stream<Item = io::Result<Bytes>> + Send>>;
+type Chunks = Pin<Box<dyn Stream<Item = io::Result<Bytes>> + Send>>;
 
-/// A body made of a relay's pieces.
+/// A response body that consists of the chunks of a relay.
 struct RelayBody {
-    /// The lock is never contended: it only lets the body be shared between threads, which the
-    /// HTTP library's body type asks for.
-    pieces: Mutex<Pieces>,
+    /// Never contended; the mutex makes the body `Sync`, as the HTTP library requires.
+    chunks: Mutex<Chunks>,
 }
 
-/// The body of an answer that `relay` passes on.
-pub(super) fn relayed(relay: Relay) -> Body {
-    let pieces = stream::unfold(relay, |mut relay| async move {
-        let piece = relay.next().await?;
-        Some((piece, relay))
+/// Returns the response body for `relay`.
+pub(super) fn relay_body(relay: Relay) -> Body {
+    let chunks = stream::unfold(relay, |mut relay| async move {
+        let chunk = relay.next_events().await?;
+        Some((chunk, relay))
     });
-    cut_after_flush(RelayBody { pieces: Mutex::new(pieces.boxed()) })
+    cut_after_flush(RelayBody { chunks: Mutex::new(chunks.boxed()) })
 }
 
 impl hyper::body::Body for RelayBody {
@@ -184,7 +185,7 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let polled = self.pieces.get_mut().unwrap().poll_next(context);
-        polled.map(|piece| piece.map(|piece| piece.map(Frame::data).map_err(BodyError::from)))
+        let polled = self.chunks.get_mut().unwrap().poll_next(context);
+        polled.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data).map_err(BodyError::from)))
     }
 }
--- a/crates/bendhinge_gateway/src/intake/headers.rs
+++ b/crates/bendhinge_gateway/src/intake/headers.rs
@@ -1,18 +1,18 @@
-//! Headers on their way through.
+//! Filters the headers of relayed requests and responses.
 
 use bendhinge_http::drop_hop_by_hop;
 use hyper::header::{CONTENT_LENGTH, EXPECT, HeaderMap};
 
-/// Makes a caller's headers fit for an upstream. Length and framing are written anew by the HTTP
-/// library.
-pub(super) fn to_upstream(headers: &mut HeaderMap) {
+/// Removes the headers of a caller's request that are not forwarded to the upstream. The HTTP library sets
+/// length and framing again.
+pub(super) fn prepare_for_upstream(headers: &mut HeaderMap) {
     drop_hop_by_hop(headers);
     headers.remove(EXPECT);
     headers.remove(CONTENT_LENGTH);
 }
 
-/// Makes an upstream's headers fit for the caller.
-pub(crate) fn to_caller(headers: &mut HeaderMap) {
+/// Removes the headers of an upstream's response that are not forwarded to the caller.
+pub(crate) fn prepare_for_caller(headers: &mut HeaderMap) {
     drop_hop_by_hop(headers);
     headers.remove(CONTENT_LENGTH);
 }
--- a/crates/bendhinge_gateway/src/intake/mod.rs
+++ b/crates/bendhinge_gateway/src/intake/mod.rs
@@ -1,4 +1,4 @@
-//! The duty of intake: callers' requests up to the decision to serve them.
+//! Accepts callers' requests: reads and authorizes them, and passes them on to delivery.
 
 pub(crate) mod headers;
 
@@ -19,74 +19,74 @@
 use smol::Timer;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::delivery::{Delivering, Turn, deliver};
+use crate::delivery::{DeliveryContext, InboundRequest, deliver};
 use crate::dialect::{CallFields, RefusalFields};
 use crate::knowledge::RulesInForce;
 use crate::lifecycle::Lifecycle;
 
-/// A request that gets no upstream's answer, with what its caller is told.
+/// A request that is answered by the router itself, with what the caller is told.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Refused {
+pub(crate) struct Refusal {
     pub(crate) code: ResultCode,
-    /// Whether it was sent, so that its line was written by whoever sent it.
+    /// Whether the request was passed on to delivery, which then has written its log line.
     pub(crate) was_sent: bool,
-    /// When to come back, where that is known better than soon.
+    /// The retry delay, if it is more specific than the default.
     pub(crate) retry_after: Option<Duration>,
-    /// Which requests are the same, where it is for these that it is refused.
+    /// The digest of the request, if it is refused because of the quarantine.
     pub(crate) digest: Option<RequestDigest>,
 }
 
-impl Refused {
-    /// A request that was not sent, whose caller is told when to come back.
-    pub(crate) const fn until(code: ResultCode, retry_after: Duration) -> Self {
+impl Refusal {
+    /// Creates the refusal of a request that was not sent, with a retry delay.
+    pub(crate) const fn with_retry_after(code: ResultCode, retry_after: Duration) -> Self {
         Self { code, was_sent: false, retry_after: Some(retry_after), digest: None }
     }
 
-    /// Whether nothing that comes behind the request on its connection can be trusted.
+    /// Whether the framing of further requests on the connection cannot be trusted.
     const fn is_malformed(self) -> bool {
         matches!(self.code, ResultCode::MalformedRequest | ResultCode::AmbiguousLength)
     }
 }
 
-/// A request that was not sent.
-impl From<ResultCode> for Refused {
+/// Creates the refusal of a request that was not sent.
+impl From<ResultCode> for Refusal {
     fn from(code: ResultCode) -> Self {
         Self { code, was_sent: false, retry_after: None, digest: None }
     }
 }
 
-/// What intake needs of the other duties.
+/// The shared state that request handling uses.
 pub(crate) struct Intake {
-    pub(crate) delivering: Arc<Delivering>,
+    pub(crate) context: Arc<DeliveryContext>,
     pub(crate) lifecycle: Arc<Lifecycle>,
 }
 
-/// Answers one request of a caller.
+/// Handles one request of a caller.
 pub(crate) async fn handle(intake: Arc<Intake>, request: Request<Incoming>) -> Response<Body> {
-    let began = bendhinge_clock::now();
+    let received_at = bendhinge_clock::now();
     let (head, body) = request.into_parts();
-    // The HTTP library drops a length that stands before a transfer coding; what comes behind
-    // such a request could be part of it to another reader, and is not read (RFC 9112, 6.1).
+    // The HTTP library drops a `Content-Length` that precedes `Transfer-Encoding`. To prevent request
+    // smuggling, the connection is closed after such a request (RFC 9112, section 6.1).
     let ends_connection = head.headers.contains_key(TRANSFER_ENCODING);
-    let call = intake.delivering.dialect.read_call(&head);
-    let id = call.as_ref().ok().and_then(|call| call.id.clone());
-    let served = match call {
-        Ok(call) => intake.serve(head, body, call, began).await,
+    let fields = intake.context.dialect.read_call(&head);
+    let id = fields.as_ref().ok().and_then(|fields| fields.id.clone());
+    let result = match fields {
+        Ok(fields) => intake.serve(head, body, fields, received_at).await,
         Err(_) => Err(ResultCode::MalformedRequest.into()),
     };
-    let is_malformed = served.as_ref().is_err_and(|refused| refused.is_malformed());
-    let mut answer = match served {
-        Ok(answer) => answer,
-        Err(refused) => intake.refuse(id.as_ref(), refused),
+    let is_malformed = result.as_ref().is_err_and(|refusal| refusal.is_malformed());
+    let mut response = match result {
+        Ok(response) => response,
+        Err(refusal) => intake.refuse(id.as_ref(), refusal),
     };
     if is_malformed || ends_connection || intake.lifecycle.is_stopping() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    answer
+    response
 }
 
-/// What a request may do, by the rules in force.
-struct Allowed {
+/// The route, pool, customer and limits of a request, according to the rules in force.
+struct Authorization {
     route: Arc<Route>,
     pool: PoolName,
     customer: Option<Arc<Customer>>,
@@ -98,86 +98,92 @@
         &self,
         mut head: request::Parts,
         body: Incoming,
-        call: CallFields,
-        began: Instant,
-    ) -> Result<Response<Body>, Refused> {
-        check_form(&head)?;
+        fields: CallFields,
+        received_at: Instant,
+    ) -> Result<Response<Body>, Refusal> {
+        validate_head(&head)?;
         if !self.lifecycle.takes_requests() {
             return Err(ResultCode::RouterStopping.into());
         }
         let tie_breaker = rand::rng().random();
-        let current = self.delivering.rules.current_or_first(call.deadline).await;
+        let current = self.context.rules.current_or_first(fields.deadline).await;
         let current = current.ok_or(ResultCode::NoConfiguration)?;
-        let allowed = allow(&current, &head, &call)?;
-        if allowed.customer.is_some() && !self.delivering.rules.may_be_acted_on() {
+        let authorization = authorize(&current, &head, &fields)?;
+        if authorization.customer.is_some() && !self.context.rules.may_be_acted_on() {
             return Err(ResultCode::ViewNotFresh.into());
         }
         drop(current);
         let in_progress = self.lifecycle.begin();
-        let limit =
-            began + call.deadline.map_or(allowed.route.timeout, |left| left.min(allowed.route.timeout));
-        let body = read(body, &allowed.limits, limit).await?;
-        headers::to_upstream(&mut head.headers);
-        let customer_priority = allowed.customer.as_ref().and_then(|customer| customer.priority);
-        let turn = Turn {
-            priority: customer_priority.unwrap_or(allowed.route.priority),
-            call,
-            route: allowed.route,
-            pool: allowed.pool,
-            customer: allowed.customer,
+        let deadline = received_at
+            + fields
+                .deadline
+                .map_or(authorization.route.timeout, |time_left| time_left.min(authorization.route.timeout));
+        let body = read_request_body(body, &authorization.limits, deadline).await?;
+        headers::prepare_for_upstream(&mut head.headers);
+        let customer_priority = authorization.customer.as_ref().and_then(|customer| customer.priority);
+        let inbound = InboundRequest {
+            priority: customer_priority.unwrap_or(authorization.route.priority),
+            fields,
+            route: authorization.route,
+            pool: authorization.pool,
+            customer: authorization.customer,
             head,
             body,
-            began,
-            limit,
+            received_at,
+            deadline,
             tie_breaker,
             digest: OnceLock::new(),
         };
-        deliver(&self.delivering, turn, in_progress).await
+        deliver(&self.context, inbound, in_progress).await
     }
 
-    fn refuse(&self, id: Option<&HeaderValue>, refused: Refused) -> Response<Body> {
-        let Refused { code, was_sent, retry_after, digest } = refused;
-        let delivering = &self.delivering;
-        delivering.metrics.result(code);
-        let retry_after = retry_after.or_else(|| code.invites_retry().then(soon));
+    fn refuse(&self, id: Option<&HeaderValue>, refusal: Refusal) -> Response<Body> {
+        let Refusal { code, was_sent, retry_after, digest } = refusal;
+        let context = &self.context;
+        context.metrics.result(code);
+        let retry_after = retry_after.or_else(|| code.invites_retry().then(default_retry_after));
         if !was_sent {
-            let rules_age = delivering.rules.age(bendhinge_clock::now());
+            let rules_age = context.rules.age(bendhinge_clock::now());
             let id = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
-            delivering.log.refused(id, code, digest, rules_age, retry_after);
+            context.log.refused(id, code, digest, rules_age, retry_after);
         }
-        let mut answer = Response::new(full_body(Bytes::new()));
-        *answer.status_mut() =
+        let mut response = Response::new(full_body(Bytes::new()));
+        *response.status_mut() =
             StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-        answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         let body =
-            delivering.dialect.write_refusal(answer.headers_mut(), &RefusalFields { id, code, retry_after });
-        *answer.body_mut() = full_body(body);
-        answer
+            context.dialect.write_refusal(response.headers_mut(), &RefusalFields { id, code, retry_after });
+        *response.body_mut() = full_body(body);
+        response
     }
 }
 
-/// A time to come back after, spread so that the refused do not return together.
-fn soon() -> Duration {
+/// Returns a random retry delay so that callers refused together do not return together.
+fn default_retry_after() -> Duration {
     Duration::from_millis(rand::rng().random_range(80..250))
 }
 
-fn allow(current: &RulesInForce, head: &request::Parts, call: &CallFields) -> Result<Allowed, Refused> {
+fn authorize(
+    current: &RulesInForce,
+    head: &request::Parts,
+    fields: &CallFields,
+) -> Result<Authorization, Refusal> {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let rules = &current.rules;
     let route = rules.routes.find(host, head.uri.path()).ok_or(ResultCode::UnknownModel)?;
-    let customer = authenticate(current, route, call)?;
-    let pool = route.split.pool_at(split_point(call)).ok_or(ResultCode::NoUpstream)?;
-    Ok(Allowed { route: Arc::clone(route), pool: pool.clone(), customer, limits: rules.limits })
+    let customer = authenticate(current, route, fields)?;
+    let pool = route.split.pool_at(split_point(fields)).ok_or(ResultCode::NoUpstream)?;
+    Ok(Authorization { route: Arc::clone(route), pool: pool.clone(), customer, limits: rules.limits })
 }
 
-/// Finds whose request it is. A key that nobody holds is refused even where none is needed.
+/// Returns the customer of a request. An unknown key is refused even if the route allows anonymous requests.
 fn authenticate(
     current: &RulesInForce,
     route: &Route,
-    call: &CallFields,
-) -> Result<Option<Arc<Customer>>, Refused> {
+    fields: &CallFields,
+) -> Result<Option<Arc<Customer>>, Refusal> {
     let customers = &current.rules.customers;
-    match &call.key {
+    match &fields.key {
         Some(key) if customers.requires_key() => match customers.find_by_key(key) {
             Some(customer) => Ok(Some(Arc::clone(customer))),
             None => Err(ResultCode::NoKey.into()),
@@ -187,39 +193,43 @@
     }
 }
 
-/// A point from 0 up to 1 for dividing traffic: the same wherever the same request comes.
-fn split_point(call: &CallFields) -> f64 {
-    match &call.id {
+/// Returns a number in `[0, 1)` for the traffic split, which is equal for equal request IDs on all routers.
+fn split_point(fields: &CallFields) -> f64 {
+    match &fields.id {
         Some(id) => hash_to_fraction(xxh3_64(id.as_bytes())),
         None => rand::rng().random(),
     }
 }
 
-/// Refuses requests that two readers could read differently.
-fn check_form(head: &request::Parts) -> Result<(), Refused> {
-    let lengths = head.headers.get_all(CONTENT_LENGTH).iter().count();
-    if lengths > 1 || lengths == 1 && head.headers.contains_key(TRANSFER_ENCODING) {
+/// Refuses requests whose framing or target is ambiguous.
+fn validate_head(head: &request::Parts) -> Result<(), Refusal> {
+    let length_count = head.headers.get_all(CONTENT_LENGTH).iter().count();
+    if length_count > 1 || length_count == 1 && head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(ResultCode::AmbiguousLength.into());
     }
-    let hosts = head.headers.get_all(HOST).iter().count();
-    if hosts != 1 || !head.uri.path().starts_with('/') {
+    let host_count = head.headers.get_all(HOST).iter().count();
+    if host_count != 1 || !head.uri.path().starts_with('/') {
         return Err(ResultCode::MalformedRequest.into());
     }
     Ok(())
 }
 
-async fn read(body: Incoming, limits: &CallerLimits, limit: Instant) -> Result<Bytes, Refused> {
+async fn read_request_body(
+    body: Incoming,
+    limits: &CallerLimits,
+    deadline: Instant,
+) -> Result<Bytes, Refusal> {
     let reading = async {
         read_body(body, limits.max_body_bytes).await.map_err(|error| {
-            Refused::from(match error {
+            Refusal::from(match error {
                 ReadBodyError::TooLong(_) => ResultCode::BodyTooLarge,
                 ReadBodyError::Broken(_) => ResultCode::MalformedRequest,
             })
         })
     };
-    let too_long = async {
-        Timer::after(limit.since(bendhinge_clock::now())).await;
+    let timeout = async {
+        Timer::after(deadline.since(bendhinge_clock::now())).await;
         Err(ResultCode::SlowCaller.into())
     };
-    reading.or(too_long).await
+    reading.or(timeout).await
 }
--- a/crates/bendhinge_gateway/src/log/request.rs
+++ b/crates/bendhinge_gateway/src/log/request.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::{Log, millis};
-use crate::delivery::Turn;
+use crate::delivery::InboundRequest;
 use crate::knowledge::Chosen;
 
 #[derive(Serialize)]
@@ -45,12 +45,12 @@
 }
 
 impl RequestLine {
-    pub(crate) fn new(turn: &Turn) -> Self {
-        let request = turn.call.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
+    pub(crate) fn new(inbound: &InboundRequest) -> Self {
+        let request = inbound.fields.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
         Self {
             request: request.to_owned(),
-            route: turn.route.name.clone(),
-            began: turn.began,
+            route: inbound.route.name.clone(),
+            began: inbound.received_at,
             sends: Vec::new(),
             digest: None,
         }
--- a/crates/bendhinge_gateway/src/pacing.rs
+++ b/crates/bendhinge_gateway/src/pacing.rs
@@ -1,4 +1,4 @@
-//! This gateway's pace towards pools of plain upstreams, which say nothing of their load.
+//! Paces the requests of this router to pools of upstreams that do not report their load.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use crate::log::Log;
 
-/// The pace towards each pool.
+/// The pacers of this router, one for each pool.
 pub(crate) struct Pacing {
     pacers: Mutex<FxHashMap<PoolName, Pacer>>,
     log: Log,
@@ -21,42 +21,43 @@
         Self { pacers: Mutex::default(), log }
     }
 
-    /// Decides on a request before it is sent anywhere.
-    pub(crate) fn decide(&self, pool: &PoolName, asker: Requester) -> PacingDecision {
+    /// Admits or refuses a request before it is sent.
+    pub(crate) fn decide(&self, pool: &PoolName, requester: Requester) -> PacingDecision {
         let now = bendhinge_clock::now();
-        let spread = rand::rng().random();
-        self.with(pool, |pacer| pacer.decide(asker, spread, now))
+        let jitter = rand::rng().random();
+        self.update(pool, |pacer| pacer.decide(requester, jitter, now))
     }
 
-    /// Notes an answer to a request that came at `began`.
-    pub(crate) fn answered(&self, pool: &PoolName, began: Instant, target: Duration) {
+    /// Records a response to a request that was received at `received_at`.
+    pub(crate) fn record_response(&self, pool: &PoolName, received_at: Instant, target_latency: Duration) {
         let now = bendhinge_clock::now();
-        self.with(pool, |pacer| pacer.record_response(now.since(began), target, now));
+        self.update(pool, |pacer| pacer.record_response(now.since(received_at), target_latency, now));
     }
 
-    /// Notes that one of the pool's `upstreams` that take work turned a request away.
-    pub(crate) fn turned_away(&self, pool: &PoolName, by: NameHash, upstreams: usize) {
-        self.with(pool, |pacer| pacer.record_rejection(by, upstreams, bendhinge_clock::now()));
+    /// Records that an upstream rejected a request. `upstream_count` is the number of upstreams of the pool
+    /// that accept work.
+    pub(crate) fn record_rejection(&self, pool: &PoolName, upstream: NameHash, upstream_count: usize) {
+        self.update(pool, |pacer| pacer.record_rejection(upstream, upstream_count, bendhinge_clock::now()));
     }
 
-    /// Forgets customers that ask for nothing.
+    /// Removes customers without recent requests.
     pub(crate) fn prune(&self) {
         let now = bendhinge_clock::now();
         self.pacers.lock().unwrap().values_mut().for_each(|pacer| pacer.prune(now));
     }
 
-    fn with<T>(&self, pool: &PoolName, act: impl FnOnce(&mut Pacer) -> T) -> T {
+    fn update<T>(&self, pool: &PoolName, operation: impl FnOnce(&mut Pacer) -> T) -> T {
         let mut pacers = self.pacers.lock().unwrap();
         let pacer = match pacers.get_mut(pool) {
             Some(pacer) => pacer,
             None => pacers.entry(pool.clone()).or_default(),
         };
-        let was_paced = pacer.rate_limit().is_some();
-        let result = act(pacer);
-        let pace = pacer.rate_limit();
+        let was_limited = pacer.rate_limit().is_some();
+        let result = operation(pacer);
+        let rate_limit = pacer.rate_limit();
         drop(pacers);
-        if pace.is_some() != was_paced {
-            self.log.pace(pool, pace);
+        if rate_limit.is_some() != was_limited {
+            self.log.pace(pool, rate_limit);
         }
         result
     }
--- a/crates/bendhinge_gateway/src/quarantine.rs
+++ b/crates/bendhinge_gateway/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams crash: what this gateway saw and heard of them, and whether one is sent.
+//! Keeps the quarantine of requests that crash upstreams, and notifies peers of its changes.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,254 +15,261 @@
 use crate::knowledge::{learned_from, router_hash};
 use crate::log::Log;
 
-/// Changes that wait to be told, in the time between two messages: more than as many upstreams' crashes make. A
-/// further one goes with the message that the others cause.
-const MOST_CHANGES: usize = 4_096;
+/// Maximum number of queued change notifications. When the queue is full, further changes are sent together
+/// with the queued ones.
+const MAX_QUEUED_CHANGES: usize = 4_096;
 
-/// Crashes from which on what is known of a request is worth a line, and a message at once. A first one is in the
-/// lines of whoever saw it, and of hundreds of requests when a pool is lost.
-const OF_NOTE: usize = 2;
+/// Number of crashes from which on changes are logged and sent to peers immediately. A first crash is common,
+/// since the loss of a pool affects every request in progress there.
+const REPORTING_THRESHOLD: usize = 2;
 
-/// A change that others are to be told of.
+/// A change that is to be sent to peers.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SuspicionChange {
-    /// By whom it was noticed: this gateway, as the store's news are, or another.
+pub(crate) struct QuarantineChange {
+    /// The origin of the change: `Store` if this router observed it, otherwise a peer.
     pub(crate) origin: Origin,
-    /// Whether the next send of the request may depend on it: single crashes may wait for a moment.
+    /// Whether the change may affect the next send of the request and must be sent without delay.
     pub(crate) is_urgent: bool,
 }
 
-impl SuspicionChange {
-    /// This one and `other`, told together.
-    pub(crate) fn with(self, other: Self) -> Self {
+impl QuarantineChange {
+    /// Combines two changes that are sent together.
+    pub(crate) fn merge(self, other: Self) -> Self {
         let origin = if other.origin == Origin::Store { other.origin } else { self.origin };
         Self { origin, is_urgent: self.is_urgent || other.is_urgent }
     }
 }
 
-/// What this gateway knows of suspected requests.
-pub(crate) struct QuarantineKeeper {
+/// The quarantine of this router, shared between its tasks.
+pub(crate) struct SharedQuarantine {
     state: Mutex<Quarantine>,
-    changes: Sender<SuspicionChange>,
+    changes: Sender<QuarantineChange>,
     log: Log,
 }
 
-/// A request that is not to be sent now.
+/// Why a request must not be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Kept {
+pub(crate) struct SendRefusal {
     pub(crate) code: ResultCode,
-    /// When it may be sent again, as far as is known.
+    /// The delay after which a retry may succeed.
     pub(crate) retry_after: Duration,
 }
 
-impl Kept {
-    fn by(permission: SendPermission) -> Option<Self> {
-        /// Sends of a suspected request end within a request's time; one that crashes its upstream within
-        /// a second or two.
-        const UNTIL_SENDS_END_MILLIS: std::ops::Range<u64> = 500..1_500;
+impl SendRefusal {
+    fn from_permission(permission: SendPermission) -> Option<Self> {
+        /// The range of the retry delay while sends are in flight. Requests that crash their upstream usually do
+        /// so within a second or two.
+        const DEFERRAL_RANGE_MS: std::ops::Range<u64> = 500..1_500;
         let (code, retry_after) = match permission {
             SendPermission::Allowed | SendPermission::Tracked => return None,
             SendPermission::Deferred => {
-                let millis = rand::rng().random_range(UNTIL_SENDS_END_MILLIS);
+                let millis = rand::rng().random_range(DEFERRAL_RANGE_MS);
                 (ResultCode::SuspectUnderWay, Duration::from_millis(millis))
             }
-            SendPermission::Quarantined(left) => (ResultCode::Quarantined, left),
+            SendPermission::Quarantined(period) => (ResultCode::Quarantined, period),
         };
         Some(Self { code, retry_after })
     }
 }
 
-/// A send of a suspected request under way, until dropped.
-pub(crate) struct WatchedSend {
-    keeper: Arc<QuarantineKeeper>,
+/// A tracked send in flight; dropping it records its end.
+pub(crate) struct TrackedSend {
+    quarantine: Arc<SharedQuarantine>,
     request: RequestDigest,
 }
 
-impl Drop for WatchedSend {
+impl Drop for TrackedSend {
     fn drop(&mut self) {
-        self.keeper.state.lock().unwrap().record_send_end(self.request, bendhinge_clock::now());
-        self.keeper.changed(Origin::Store, OF_NOTE);
+        self.quarantine.state.lock().unwrap().record_send_end(self.request, bendhinge_clock::now());
+        self.quarantine.notify(Origin::Store, REPORTING_THRESHOLD);
     }
 }
 
-impl QuarantineKeeper {
-    /// Nothing is known yet; `own` is where peers reach this gateway. What changes goes to the receiver.
-    pub(crate) fn new(own: SocketAddr, log: Log) -> (Self, Receiver<SuspicionChange>) {
-        let (changes, told) = bounded(MOST_CHANGES);
-        (Self { state: Mutex::new(Quarantine::new(router_hash(own))), changes, log }, told)
+impl SharedQuarantine {
+    /// Creates an empty quarantine and the receiver of its changes. `local_address` is the address at which
+    /// peers reach this router.
+    pub(crate) fn new(local_address: SocketAddr, log: Log) -> (Self, Receiver<QuarantineChange>) {
+        let (changes, receiver) = bounded(MAX_QUEUED_CHANGES);
+        (Self { state: Mutex::new(Quarantine::new(router_hash(local_address))), changes, log }, receiver)
     }
 
-    /// Whether something may be known of a request.
-    pub(crate) fn may_know(&self, hint: RequestHint) -> bool {
+    /// Whether a request with this hint may be tracked.
+    pub(crate) fn may_contain(&self, hint: RequestHint) -> bool {
         self.state.lock().unwrap().may_contain(hint)
     }
 
-    /// Whether nothing is known of any request.
+    /// Whether no request is tracked.
     pub(crate) fn is_empty(&self) -> bool {
         self.state.lock().unwrap().is_empty()
     }
 
-    /// Whether a request is kept from upstreams now, and not just until others of it have ended.
+    /// Whether a request is quarantined, as opposed to deferred until its sends in flight have ended.
     pub(crate) fn is_quarantined(&self, request: RequestDigest) -> bool {
         let permission = self.state.lock().unwrap().permission(request, bendhinge_clock::now());
         matches!(permission, SendPermission::Quarantined(_))
     }
 
-    /// Whether a request may be sent; `Err` says why not.
-    pub(crate) fn check(&self, request: RequestDigest) -> Result<(), Kept> {
+    /// Returns `Err` if a request must not be sent now.
+    pub(crate) fn check(&self, request: RequestDigest) -> Result<(), SendRefusal> {
         let permission = self.state.lock().unwrap().permission(request, bendhinge_clock::now());
-        Kept::by(permission).map_or(Ok(()), Err)
+        SendRefusal::from_permission(permission).map_or(Ok(()), Err)
     }
 
-    /// Begins a send of a request. Of a suspected one the others are told, until what is given is dropped.
-    pub(crate) fn begin(self: &Arc<Self>, request: RequestDigest) -> Result<Option<WatchedSend>, Kept> {
+    /// Starts a send of a request. If the request is tracked, the send is reported to peers until the
+    /// returned value is dropped.
+    pub(crate) fn begin_send(
+        self: &Arc<Self>,
+        request: RequestDigest,
+    ) -> Result<Option<TrackedSend>, SendRefusal> {
         let now = bendhinge_clock::now();
         let mut state = self.state.lock().unwrap();
         let permission = state.permission(request, now);
-        if let Some(kept) = Kept::by(permission) {
-            return Err(kept);
+        if let Some(refusal) = SendRefusal::from_permission(permission) {
+            return Err(refusal);
         }
         if permission == SendPermission::Allowed {
             return Ok(None);
         }
         state.record_send_start(request, now);
         drop(state);
-        self.changed(Origin::Store, OF_NOTE);
-        Ok(Some(WatchedSend { keeper: Arc::clone(self), request }))
+        self.notify(Origin::Store, REPORTING_THRESHOLD);
+        Ok(Some(TrackedSend { quarantine: Arc::clone(self), request }))
     }
 
-    /// Notes that an upstream crashed under a request, numbered `number` in this try, that was sent at `sent` and
-    /// lost at `lost`.
-    pub(crate) fn crashed(
+    /// Records that an upstream crashed while it processed a request. The request has the ID `request_id`,
+    /// was sent at `sent_at`, and its connection was lost at `lost_at`.
+    pub(crate) fn record_crash(
         &self,
         request: RequestDigest,
-        number: &str,
+        request_id: &str,
         upstream: &UpstreamEntry,
-        sent: Instant,
-        lost: Instant,
+        sent_at: Instant,
+        lost_at: Instant,
     ) {
-        let crash = Crash { upstream: upstream.hash, software: upstream.software, at: lost };
+        let crash = Crash { upstream: upstream.hash, software: upstream.software, at: lost_at };
         let mut state = self.state.lock().unwrap();
-        let is_new = state.record_crash(request, crash, sent, bendhinge_clock::now());
+        let is_new = state.record_crash(request, crash, sent_at, bendhinge_clock::now());
         let crashes = state.crash_count(request);
         drop(state);
         if is_new {
-            self.log.crash(number, request, &upstream.name, crashes);
-            self.changed(Origin::Store, crashes);
+            self.log.crash(request_id, request, &upstream.name, crashes);
+            self.notify(Origin::Store, crashes);
         }
     }
 
-    /// Notes that an upstream gave a whole answer to a request.
-    pub(crate) fn answered(&self, request: RequestDigest) {
-        self.end_suspicion(request, "answered");
+    /// Records a complete response to a request.
+    pub(crate) fn record_response(&self, request: RequestDigest) {
+        self.clear_crashes(request, "answered");
     }
 
-    /// Notes that operators hold nothing against these requests any more.
+    /// Clears the crashes of requests that an operator released.
     pub(crate) fn release(&self, requests: &[RequestDigest]) {
         for request in requests {
-            self.end_suspicion(*request, "released");
+            self.clear_crashes(*request, "released");
         }
     }
 
-    fn end_suspicion(&self, request: RequestDigest, why: &str) {
+    fn clear_crashes(&self, request: RequestDigest, reason: &str) {
         let mut state = self.state.lock().unwrap();
         let crashes = state.crash_count(request);
-        let is_over = state.record_response(request, bendhinge_clock::now());
+        let was_cleared = state.record_response(request, bendhinge_clock::now());
         drop(state);
-        if is_over {
-            self.log.suspicion_over(request, why, crashes);
-            self.changed(Origin::Store, crashes);
+        if was_cleared {
+            self.log.suspicion_over(request, reason, crashes);
+            self.notify(Origin::Store, crashes);
         }
     }
 
-    /// Takes in what the gateway at `from` knows, its ages counted from `as_of`.
-    pub(crate) fn hear(&self, suspicions: &[ObservedSuspicion], from: SocketAddr, as_of: Instant) {
+    /// Merges the crash histories that the router at `from` reported; their ages are relative to `as_of`.
+    pub(crate) fn merge_reported(&self, histories: &[ObservedSuspicion], from: SocketAddr, as_of: Instant) {
         let now = bendhinge_clock::now();
-        let mut changed = None;
-        for heard in suspicions {
+        let mut max_crashes = None;
+        for reported in histories {
             let mut state = self.state.lock().unwrap();
-            let before = state.crash_count(heard.request);
-            let changes = state.merge(heard.request, &heard.as_of(as_of), learned_from(from), now);
-            let crashes = state.crash_count(heard.request);
+            let previous_crashes = state.crash_count(reported.request);
+            let is_changed = state.merge(reported.request, &reported.as_of(as_of), learned_from(from), now);
+            let crashes = state.crash_count(reported.request);
             drop(state);
-            if changes {
-                changed = changed.max(Some(crashes.max(before)));
+            if is_changed {
+                max_crashes = max_crashes.max(Some(crashes.max(previous_crashes)));
             }
-            if crashes != before && crashes.max(before) >= OF_NOTE {
-                self.log.suspicion_heard(heard.request, crashes, from);
+            if crashes != previous_crashes && crashes.max(previous_crashes) >= REPORTING_THRESHOLD {
+                self.log.suspicion_heard(reported.request, crashes, from);
             }
         }
-        if let Some(crashes) = changed {
-            self.changed(Origin::Peer, crashes);
+        if let Some(crashes) = max_crashes {
+            self.notify(Origin::Peer, crashes);
         }
     }
 
-    /// Whether there is anything to tell the gateway at `listener` at once, see [`QuarantineKeeper::changes`].
-    pub(crate) fn has_changes(&self, listener: SocketAddr, since: Instant, tells_on: bool) -> bool {
-        self.state.lock().unwrap().changes_for(learned_from(listener), since, tells_on).next().is_some()
+    /// Whether there are changes to send to the router at `recipient`, see [`SharedQuarantine::changes_for`].
+    pub(crate) fn has_changes_for(&self, recipient: SocketAddr, since: Instant, forwards: bool) -> bool {
+        self.state.lock().unwrap().changes_for(learned_from(recipient), since, forwards).next().is_some()
     }
 
-    /// What changed after `since`, to tell the gateway at `listener` at once; what others told, if this one
-    /// `tells_on`.
-    pub(crate) fn changes(
+    /// Returns the changes after `since` to send to the router at `recipient`, including those received from
+    /// peers if this router `forwards`.
+    pub(crate) fn changes_for(
         &self,
-        listener: SocketAddr,
+        recipient: SocketAddr,
         since: Instant,
-        tells_on: bool,
+        forwards: bool,
         now: Instant,
     ) -> Vec<ObservedSuspicion> {
         let state = self.state.lock().unwrap();
-        let told = state.changes_for(learned_from(listener), since, tells_on);
-        told.map(|(request, suspicion)| ObservedSuspicion::of(request, suspicion, now)).collect()
+        let histories = state.changes_for(learned_from(recipient), since, forwards);
+        histories.map(|(request, history)| ObservedSuspicion::of(request, history, now)).collect()
     }
 
-    /// What to tell a gateway whose digest is `known`: all that matters, if that is another.
-    pub(crate) fn that_differs(&self, known: u64, now: Instant) -> Vec<ObservedSuspicion> {
+    /// Returns the histories to send to a router with the digest `remote_digest`; empty if the digests are
+    /// equal.
+    pub(crate) fn histories_to_sync(&self, remote_digest: u64, now: Instant) -> Vec<ObservedSuspicion> {
         let state = self.state.lock().unwrap();
-        let differs = known != state.digest();
-        let told = state.synced_histories().filter(|_| differs);
-        told.map(|(request, suspicion)| ObservedSuspicion::of(request, suspicion, now)).collect()
+        let is_different = remote_digest != state.digest();
+        let histories = state.synced_histories().filter(|_| is_different);
+        histories.map(|(request, history)| ObservedSuspicion::of(request, history, now)).collect()
     }
 
-    /// What gateways that know the same have alike.
+    /// Returns a digest that is equal for routers with equal crash histories.
     pub(crate) fn digest(&self) -> u64 {
         self.state.lock().unwrap().digest()
     }
 
-    /// Notes which software upstreams run.
-    pub(crate) fn follow_software(&self, running: Vec<NameHash>) {
-        self.state.lock().unwrap().set_running_software(running);
+    /// Sets the software that upstreams run now.
+    pub(crate) fn set_running_software(&self, running_software: Vec<NameHash>) {
+        self.state.lock().unwrap().set_running_software(running_software);
     }
 
-    /// Forgets what is over.
+    /// Removes expired histories.
     pub(crate) fn prune(&self) {
         self.state.lock().unwrap().prune(bendhinge_clock::now());
     }
 
-    /// How many requests are kept from upstreams.
-    pub(crate) fn quarantined(&self) -> usize {
+    /// Returns the number of quarantined requests.
+    pub(crate) fn quarantined_count(&self) -> usize {
         self.state.lock().unwrap().quarantined(bendhinge_clock::now()).count()
     }
 
-    /// The requests that are kept from upstreams, as a document for operators.
-    pub(crate) fn page(&self) -> String {
+    /// Returns the quarantined requests as a JSON document for operators.
+    pub(crate) fn to_json(&self) -> String {
         let now = bendhinge_clock::now();
         let state = self.state.lock().unwrap();
-        let requests = state.quarantined(now).map(|(request, suspicion, left)| {
-            let ages = suspicion.crashes.iter().map(|crash| now.since(crash.at).as_secs());
+        let requests = state.quarantined(now).map(|(request, history, period)| {
+            let ages = history.crashes.iter().map(|crash| now.since(crash.at).as_secs());
             json!({
                 "digest": request.to_string(),
                 "crashes_s_ago": ages.collect::<Vec<_>>(),
-                "left_s": left.as_secs(),
+                "left_s": period.as_secs(),
             })
         });
         json!({ "quarantined": requests.collect::<Vec<_>>() }).to_string()
     }
 
-    /// Has the others told of a change to what is known of a request with so many crashes.
-    fn changed(&self, origin: Origin, crashes: usize) {
-        let change = SuspicionChange { origin, is_urgent: crashes >= OF_NOTE };
-        // A full channel is one that will be read, and what changed is told from the state.
+    /// Queues a notification of peers about a request with the given number of crashes.
+    fn notify(&self, origin: Origin, crashes: usize) {
+        let change = QuarantineChange { origin, is_urgent: crashes >= REPORTING_THRESHOLD };
+        // If the queue is full, a queued notification covers the change, since messages are built from the
+        // current state.
         let _ = self.changes.try_send(change);
     }
 }
--- a/crates/bendhinge_gateway/src/ready.rs
+++ b/crates/bendhinge_gateway/src/ready.rs
@@ -1,4 +1,4 @@
-//! The address at which a balancer asks whether the gateway is ready, and metrics are read.
+//! Serves the readiness check for load balancers, the metrics, and the list of quarantined requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,21 +8,22 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 
-use crate::delivery::Delivering;
+use crate::delivery::DeliveryContext;
 use crate::lifecycle::Lifecycle;
 use crate::metrics::MeasuredNow;
 
-/// A gateway whose rules are too old to act on for longer than this is not ready.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// How long after the end of their lease the rules may be unconfirmed before the router reports that it is
+/// not ready.
+const LEASE_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// The path of the metrics, in Prometheus' text form.
+/// The path of the metrics in Prometheus text format.
 const METRICS_PATH: &str = "/metrics";
-/// The path of the list of requests that are kept from upstreams.
+/// The path of the list of quarantined requests.
 const QUARANTINE_PATH: &str = "/quarantine";
 
-/// What the answer depends on.
+/// The state that readiness and metrics are read from.
 pub(crate) struct Readiness {
-    pub(crate) delivering: Arc<Delivering>,
+    pub(crate) context: Arc<DeliveryContext>,
     pub(crate) lifecycle: Arc<Lifecycle>,
     pub(crate) traffic: Arc<Traffic>,
     pub(crate) lease: Option<Duration>,
@@ -30,39 +31,39 @@
 
 impl Readiness {
     fn is_ready(&self) -> bool {
-        let age = self.delivering.rules.age(bendhinge_clock::now());
-        let lease = self.lease.map_or(Duration::MAX, |lease| lease + PATIENCE);
+        let age = self.context.rules.age(bendhinge_clock::now());
+        let lease = self.lease.map_or(Duration::MAX, |lease| lease + LEASE_GRACE_PERIOD);
         !self.lifecycle.is_stopping()
             && age.is_some_and(|age| age <= lease)
-            && self.delivering.upstreams.is_begun()
+            && self.context.upstreams.is_begun()
     }
 
     fn measured_now(&self) -> MeasuredNow {
         MeasuredNow {
             in_progress: self.lifecycle.in_progress(),
-            rules_age: self.delivering.rules.age(bendhinge_clock::now()),
+            rules_age: self.context.rules.age(bendhinge_clock::now()),
             peer_connections: self.traffic.open_connections(),
             peer_sent_bytes: self.traffic.sent_bytes(),
-            quarantined: self.delivering.quarantine.quarantined(),
-            upstreams_resting: self.delivering.upstreams.resting(),
+            quarantined: self.context.quarantine.quarantined_count(),
+            upstreams_resting: self.context.upstreams.resting(),
         }
     }
 
-    pub(crate) fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
+    pub(crate) fn handle(&self, request: &Request<Incoming>) -> Response<Body> {
         if request.uri().path() == METRICS_PATH {
-            return Response::new(full_body(self.delivering.metrics.text(&self.measured_now())));
+            return Response::new(full_body(self.context.metrics.text(&self.measured_now())));
         }
         if request.uri().path() == QUARANTINE_PATH {
-            return Response::new(full_body(self.delivering.quarantine.page()));
+            return Response::new(full_body(self.context.quarantine.to_json()));
         }
-        let is_known = request.uri().path() == self.delivering.dialect.ready_path();
-        let status = match (is_known, self.is_ready()) {
+        let is_ready_path = request.uri().path() == self.context.dialect.ready_path();
+        let status = match (is_ready_path, self.is_ready()) {
             (false, _) => StatusCode::NOT_FOUND,
             (true, true) => StatusCode::OK,
             (true, false) => StatusCode::SERVICE_UNAVAILABLE,
         };
-        let mut answer = Response::new(empty_body());
-        *answer.status_mut() = status;
-        answer
+        let mut response = Response::new(empty_body());
+        *response.status_mut() = status;
+        response
     }
 }
--- a/crates/bendhinge_gateway/src/retries.rs
+++ b/crates/bendhinge_gateway/src/retries.rs
@@ -1,4 +1,4 @@
-//! This gateway's share of the fleet's budget for sending requests again.
+//! Keeps this router's share of the fleet-wide retry budget.
 
 use std::sync::Mutex;
 
@@ -7,51 +7,51 @@
 use rand::Rng;
 use rustc_hash::FxHashMap;
 
-/// The share, of each pool by itself: what the requests to one pool earn is not spent on another.
-pub(crate) struct Retries {
-    fleet: FleetRetryBudget,
-    /// Drawn at the start: it tells this gateway's share from those of the others.
+/// Retry budgets of this router, one for each pool.
+pub(crate) struct RetryBudgets {
+    fleet_budget: FleetRetryBudget,
+    /// A random seed, which differs between routers.
     seed: u64,
-    shares: Mutex<Shares>,
+    state: Mutex<BudgetState>,
 }
 
-struct Shares {
-    /// The part of the slack that is this gateway's.
-    reserve: f64,
+struct BudgetState {
+    /// This router's share of the retries that do not depend on the request rate.
+    base_share: f64,
     by_pool: FxHashMap<PoolName, RouterRetryBudget>,
 }
 
-impl Retries {
-    pub(crate) fn new(fleet: FleetRetryBudget) -> Self {
-        /// Until it is known how many share: the gateways are known before there are rules by which to send.
-        const AT_FIRST: f64 = 1.0;
-        let shares = Shares { reserve: AT_FIRST, by_pool: FxHashMap::default() };
-        Self { fleet, seed: rand::rng().random(), shares: Mutex::new(shares) }
+impl RetryBudgets {
+    pub(crate) fn new(fleet_budget: FleetRetryBudget) -> Self {
+        /// The share until the number of routers is known.
+        const INITIAL_BASE_SHARE: f64 = 1.0;
+        let state = BudgetState { base_share: INITIAL_BASE_SHARE, by_pool: FxHashMap::default() };
+        Self { fleet_budget, seed: rand::rng().random(), state: Mutex::new(state) }
     }
 
-    /// Notes a request's first send.
-    pub(crate) fn first(&self, pool: &PoolName) {
+    /// Records the first send of a request.
+    pub(crate) fn record_request(&self, pool: &PoolName) {
         let now = bendhinge_clock::now();
-        let mut shares = self.shares.lock().unwrap();
-        if let Some(share) = shares.by_pool.get_mut(pool) {
-            return share.record_request(now);
+        let mut state = self.state.lock().unwrap();
+        if let Some(budget) = state.by_pool.get_mut(pool) {
+            return budget.record_request(now);
         }
-        let mut share = self.fleet.router_budget(shares.reserve, self.seed);
-        share.record_request(now);
-        shares.by_pool.insert(pool.clone(), share);
+        let mut budget = self.fleet_budget.router_budget(state.base_share, self.seed);
+        budget.record_request(now);
+        state.by_pool.insert(pool.clone(), budget);
     }
 
-    /// Takes one further send; `false` if there is none left.
-    pub(crate) fn second(&self, pool: &PoolName) -> bool {
+    /// Takes a retry from the budget of a pool; returns `false` if it is exhausted.
+    pub(crate) fn try_retry(&self, pool: &PoolName) -> bool {
         let now = bendhinge_clock::now();
-        self.shares.lock().unwrap().by_pool.get_mut(pool).is_some_and(|share| share.try_retry(now))
+        self.state.lock().unwrap().by_pool.get_mut(pool).is_some_and(|budget| budget.try_retry(now))
     }
 
-    /// Divides the budget among as many `gateways` as are known.
-    pub(crate) fn divide_among(&self, gateways: usize) {
-        let reserve = self.fleet.base_share(gateways);
-        let mut shares = self.shares.lock().unwrap();
-        shares.reserve = reserve;
-        shares.by_pool.values_mut().for_each(|share| share.set_base_share(reserve));
+    /// Divides the fleet-wide budget among `router_count` routers.
+    pub(crate) fn set_router_count(&self, router_count: usize) {
+        let base_share = self.fleet_budget.base_share(router_count);
+        let mut state = self.state.lock().unwrap();
+        state.base_share = base_share;
+        state.by_pool.values_mut().for_each(|budget| budget.set_base_share(base_share));
     }
 }
--- a/crates/bendhinge_gateway/src/run.rs
+++ b/crates/bendhinge_gateway/src/run.rs
@@ -17,7 +17,7 @@
 
 use crate::args::args;
 use crate::control::Control;
-use crate::delivery::{CrashLooks, Delivering};
+use crate::delivery::{CrashProbes, DeliveryContext};
 use crate::dialect::Dialect;
 use crate::intake::{self, Intake};
 use crate::knowledge::{RulesKeeper, UpstreamView};
@@ -26,9 +26,9 @@
 use crate::metrics::{Metrics, MetricsError};
 use crate::native::RULES_SCHEMA;
 use crate::pacing::Pacing;
-use crate::quarantine::QuarantineKeeper;
+use crate::quarantine::SharedQuarantine;
 use crate::ready::Readiness;
-use crate::retries::Retries;
+use crate::retries::RetryBudgets;
 use crate::settings::{SCHEMA, Settings};
 
 /// How long an idle connection of a caller may stand: longer than any that its configuration
@@ -103,21 +103,21 @@
     let log = Log::new()?;
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)?;
     let lifecycle = Arc::new(Lifecycle::new(settings.stop));
-    let (quarantine, suspicions) = QuarantineKeeper::new(settings.peers, log.clone());
-    let delivering = Arc::new(Delivering {
+    let (quarantine, suspicions) = SharedQuarantine::new(settings.peers, log.clone());
+    let delivering = Arc::new(DeliveryContext {
         dialect,
         rules: Arc::new(RulesKeeper::new(settings.beliefs)),
         upstreams: Arc::new(UpstreamView::new(settings.peers, settings.regions.clone(), &settings.upstreams)),
-        retries: Retries::new(settings.retries),
+        retry_budgets: RetryBudgets::new(settings.retries),
         pacing: Pacing::new(log.clone()),
-        identities: IdentityKey(settings.fleet.key.derived("requests")),
+        identity_key: IdentityKey(settings.fleet.key.derived("requests")),
         quarantine: Arc::new(quarantine),
-        crash_looks: CrashLooks::default(),
-        pool: Pool::new(Arc::clone(tasks), settings.upstreams.connect, settings.upstreams.idle),
+        crash_probes: CrashProbes::default(),
+        connection_pool: Pool::new(Arc::clone(tasks), settings.upstreams.connect, settings.upstreams.idle),
         tasks: Arc::clone(tasks),
         log: log.clone(),
         metrics: Metrics::new()?,
-        answer_bytes: settings.upstreams.answer_bytes,
+        max_response_bytes: settings.upstreams.answer_bytes,
     });
     let callers = serve_callers(&settings, &delivering, &lifecycle).await?;
     let traffic = Arc::new(Traffic::default());
@@ -169,7 +169,7 @@
     what: &str,
     address: SocketAddr,
     limits: ServeLimits,
-    delivering: &Delivering,
+    delivering: &DeliveryContext,
 ) -> Result<Server, StartError> {
     let failed = |error| StartError::Listen { address, error };
     let server = Server::bind(address, limits, Arc::clone(&delivering.tasks)).await.map_err(failed)?;
@@ -179,7 +179,7 @@
 
 async fn serve_callers(
     settings: &Settings,
-    delivering: &Arc<Delivering>,
+    delivering: &Arc<DeliveryContext>,
     lifecycle: &Arc<Lifecycle>,
 ) -> Result<ServerStop, StartError> {
     /// The largest head: more than any configuration allows, since callers keep within that.
@@ -197,7 +197,7 @@
     });
     let server = bind("callers", settings.callers, limits, delivering).await?.noting_unread(unread);
     let stop = server.stopper();
-    let intake = Arc::new(Intake { delivering: Arc::clone(delivering), lifecycle: Arc::clone(lifecycle) });
+    let intake = Arc::new(Intake { context: Arc::clone(delivering), lifecycle: Arc::clone(lifecycle) });
     let serving = server.run(move |request| intake::handle(Arc::clone(&intake), request));
     delivering.tasks.spawn(serving).detach();
     Ok(stop)
@@ -205,21 +205,21 @@
 
 async fn serve_readiness(
     settings: &Settings,
-    delivering: &Arc<Delivering>,
+    delivering: &Arc<DeliveryContext>,
     lifecycle: &Arc<Lifecycle>,
     traffic: &Arc<Traffic>,
 ) -> Result<ServerStop, StartError> {
     let server = bind("ready", settings.ready, ServeLimits::default(), delivering).await?;
     let stop = server.stopper();
     let readiness = Arc::new(Readiness {
-        delivering: Arc::clone(delivering),
+        context: Arc::clone(delivering),
         lifecycle: Arc::clone(lifecycle),
         traffic: Arc::clone(traffic),
         lease: settings.beliefs.rules_lease,
     });
     let serving = server.run(move |request| {
         let readiness = Arc::clone(&readiness);
-        async move { readiness.answer(&request) }
+        async move { readiness.handle(&request) }
     });
     delivering.tasks.spawn(serving).detach();
     Ok(stop)
