--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -65,7 +65,7 @@
 /// where all have just started the first in rank would be asked by all.
 fn is_seeking(control: &Control) -> bool {
     let Delivering { rules, upstreams, .. } = &*control.delivering;
-    rules.current().is_none() || !upstreams.is_begun()
+    rules.current().is_none() || !upstreams.has_list_or_partial()
 }
 
 /// Tells those who hear news from this gateway that there is some; they fetch what they lack.
@@ -178,8 +178,8 @@
         let now = bendhinge_clock::now();
         let lost = self.lost_ages();
         let Delivering { rules, upstreams, .. } = &*self.delivering;
-        is_fresher(message.rules, rules.known(now), lost.rules)
-            || is_fresher(message.upstreams, upstreams.known(now), lost.upstreams)
+        is_fresher(message.rules, rules.held_version(now), lost.rules)
+            || is_fresher(message.upstreams, upstreams.held_version(now), lost.upstreams)
     }
 
     /// Notes what the gateway at `address` was told by `message`, and up to where it was heard by `answer`.
@@ -214,9 +214,9 @@
         let address = message.sender.address;
         let delivering = &self.0.delivering;
         let is_fresher = control.is_much_fresher(&message);
-        let has_news = message.is_begun && !delivering.upstreams.is_begun()
-            || message.rules.is_some_and(|known| delivering.rules.lacks(known.version))
-            || message.upstreams.is_some_and(|known| delivering.upstreams.lacks(known.version));
+        let has_news = message.is_begun && !delivering.upstreams.has_list_or_partial()
+            || message.rules.is_some_and(|known| delivering.rules.needs(known.version))
+            || message.upstreams.is_some_and(|known| delivering.upstreams.needs(known.version));
         let now = bendhinge_clock::now();
         let content = match &message {
             message if message.is_brief => Content::Brief,
@@ -241,25 +241,28 @@
 
     fn rules(&self) -> Option<(Known, Bytes)> {
         let rules = &self.0.delivering.rules;
-        let known = rules.known(bendhinge_clock::now())?;
+        let known = rules.held_version(bendhinge_clock::now())?;
         Some((known, rules.current()?.document.clone()))
     }
 
     fn reads(&self, page: ReadsPage) -> Option<Vec<ObservedRead>> {
-        self.0.is_informed.get().then(|| self.0.delivering.upstreams.all_reads(page, bendhinge_clock::now()))
+        self.0
+            .is_informed
+            .get()
+            .then(|| self.0.delivering.upstreams.cached_reads(page, bendhinge_clock::now()))
     }
 
     fn list(&self, digest: u64) -> Option<Arc<UpstreamList>> {
-        self.0.delivering.upstreams.held_lately(digest)
+        self.0.delivering.upstreams.recent_list(digest)
     }
 
     fn list_part(&self) -> Option<Arc<UpstreamList>> {
-        self.0.delivering.upstreams.part()
+        self.0.delivering.upstreams.partial_list()
     }
 
     fn upstreams(&self, base: Option<u64>) -> Option<(Known, ListUpdate)> {
         let upstreams = &self.0.delivering.upstreams;
-        let known = upstreams.known(bendhinge_clock::now())?;
-        Some((known, upstreams.list_to_tell(base)?))
+        let known = upstreams.held_version(bendhinge_clock::now())?;
+        Some((known, upstreams.list_update_for(base)?))
     }
 }
--- a/crates/bendhinge_gateway/src/control/fetching.rs
+++ b/crates/bendhinge_gateway/src/control/fetching.rs
@@ -18,8 +18,8 @@
 
 use super::Control;
 use crate::delivery::Delivering;
-use crate::knowledge::RulesInForce;
 use crate::metrics::Believed;
+use crate::state::ActiveRules;
 
 /// What is on its way of one thing.
 #[derive(Default)]
@@ -63,14 +63,14 @@
         let holder = |known: Known| FetchSource { address, version: known.version };
         let list = async {
             if let Some(holder) = message.upstreams.map(holder) {
-                let lacks = |version| upstreams.lacks(version);
+                let lacks = |version| upstreams.needs(version);
                 let fetch = async |address| self.fetch_upstreams(address).await;
                 self.fetching_upstreams.run(holder, lacks, fetch).await;
             }
         };
         let document = async {
             if let Some(holder) = message.rules.map(holder) {
-                let lacks = |version| rules.lacks(version);
+                let lacks = |version| rules.needs(version);
                 let fetch = async |address| self.fetch_rules(address).await;
                 self.fetching_rules.run(holder, lacks, fetch).await;
             }
@@ -79,7 +79,7 @@
             if message.is_begun {
                 // Any part will do: they have no versions.
                 let holder = FetchSource { address, version: Version::default() };
-                let lacks = |_| !upstreams.is_begun();
+                let lacks = |_| !upstreams.has_list_or_partial();
                 let fetch = async |address| self.fetch_part(address).await;
                 self.fetching_part.run(holder, lacks, fetch).await;
             }
@@ -93,7 +93,7 @@
         let fetched = self.peers.call(address, async |peer| peer.list_part().await).await;
         let part = self.note_fetch(Believed::Upstreams, address, asked, fetched.map(Some));
         if let Some(part) = part {
-            self.delivering.upstreams.begin_with(Arc::new(part));
+            self.delivering.upstreams.apply_partial_list(Arc::new(part));
         }
     }
 
@@ -106,7 +106,8 @@
     }
 
     async fn fetch_upstreams(self: &Rc<Self>, address: SocketAddr) {
-        let base = self.delivering.upstreams.known(bendhinge_clock::now()).map(|known| known.version.digest);
+        let base =
+            self.delivering.upstreams.held_version(bendhinge_clock::now()).map(|known| known.version.digest);
         if !self.fetch_list(address, base).await && base.is_some() {
             self.fetch_list(address, None).await;
         }
@@ -122,7 +123,7 @@
         let list = match told {
             ListUpdate::Full(list) => Some(list),
             ListUpdate::Delta { base, delta: changes } => {
-                let list = self.delivering.upstreams.list_with(base, &changes);
+                let list = self.delivering.upstreams.apply_list_delta(base, &changes);
                 list.filter(|list| list.digest() == known.version.digest)
             }
         };
@@ -160,15 +161,15 @@
         document: Bytes,
         from: Origin,
     ) -> UpdateOutcome {
-        let rules = match self.delivering.dialect.read_rules(&document) {
+        let rules = match self.delivering.dialect.parse_rules(&document) {
             Ok(rules) => rules,
             Err(error) => {
                 self.delivering.log.process("rules_refused", from.as_str(), &error.to_string());
                 return UpdateOutcome::Stale;
             }
         };
-        let offered = RulesInForce { rules, document };
-        let offer = self.delivering.rules.offer(known.version, asked - known.age, offered);
+        let offered = ActiveRules { rules, document };
+        let offer = self.delivering.rules.update(known.version, asked - known.age, offered);
         if offer == UpdateOutcome::Updated {
             let age = bendhinge_clock::now().since(asked - known.age);
             // Operators know the rules by the revision of the document.
@@ -189,14 +190,14 @@
         let Delivering { upstreams, log, .. } = &*self.delivering;
         let drained = list.drained.clone();
         let were_drained = upstreams.list().map(|held| held.drained.clone()).unwrap_or_default();
-        let offer = upstreams.offer(known.version, asked - known.age, list);
+        let offer = upstreams.update(known.version, asked - known.age, list);
         if offer == UpdateOutcome::Updated && drained != were_drained {
             log.drained(&drained, from);
         }
         if offer == UpdateOutcome::Updated {
             let age = bendhinge_clock::now().since(asked - known.age);
             log.belief(Believed::Upstreams, known.version, from, age);
-            self.delivering.quarantine.follow_software(upstreams.software());
+            self.delivering.quarantine.follow_software(upstreams.software_hashes());
             self.spread(from);
         }
     }
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -11,7 +11,7 @@
 use bendhinge_peer::PeerMessage;
 
 use super::Control;
-use crate::knowledge::observed_read;
+use crate::state::observed_read;
 
 /// What a message says.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -45,9 +45,9 @@
     let mut message = PeerMessage {
         is_brief: matches!(content, Content::Brief | Content::Urgent { .. }),
         is_probe: content == Content::Probe,
-        rules: control.delivering.rules.known(now),
-        upstreams: control.delivering.upstreams.known(now),
-        is_begun: control.delivering.upstreams.part().is_some(),
+        rules: control.delivering.rules.held_version(now),
+        upstreams: control.delivering.upstreams.held_version(now),
+        is_begun: control.delivering.upstreams.partial_list().is_some(),
         roster: control.roster.borrow().digest(),
         told: Some(LogPosition { incarnation: control.life, sequence: 0 }),
         heard: peer.and_then(|peer| peer.received),
@@ -68,7 +68,7 @@
     if content == Content::Whole {
         let known = peer.map_or(0, |peer| peer.summary.quarantine_digest);
         message.suspicions = quarantine.that_differs(known, now);
-        message.doubts = control.delivering.upstreams.doubts_to_tell(listener, now);
+        message.doubts = control.delivering.upstreams.suspicions_for(listener, now);
         telling.loads(&mut message);
         telling.reads(question, &mut message);
     }
@@ -100,9 +100,9 @@
         let is_same =
             held.is_some() && self.peer.is_some_and(|peer| peer.summary.upstream_list_digest == held);
         if is_same {
-            message.list_loads = upstreams.list_loads_to_tell(self.listener, self.now);
+            message.list_loads = upstreams.list_loads_for(self.listener, self.now);
         } else {
-            message.loads = upstreams.loads_to_tell(self.now);
+            message.loads = upstreams.recent_loads(self.now);
         }
     }
 
@@ -115,7 +115,7 @@
             }
             None => self.peer.and_then(|peer| peer.acknowledged),
         };
-        let news = delivering.upstreams.reads_to_tell(self.listener, told, self.now);
+        let news = delivering.upstreams.cache_updates_for(self.listener, told, self.now);
         delivering.metrics.reads_not_told(news.dropped);
         message.reads = news.entries.into_iter().map(|kept| observed_read(kept, self.now)).collect();
         message.told = Some(LogPosition { incarnation: *life, sequence: news.last_sequence });
@@ -133,13 +133,13 @@
     // Of what only guides choices, a message that nobody asked for tells as much: it may be older than
     // it says by the time that it was on its way.
     let as_of = asked.unwrap_or(now);
-    upstreams.hear_reads(&message.reads, from, as_of);
-    upstreams.hear_loads(&message.loads, from, as_of);
+    upstreams.record_peer_reads(&message.reads, from, as_of);
+    upstreams.record_peer_loads(&message.loads, from, as_of);
     if let (Some(told), Some(known)) = (&message.list_loads, message.upstreams) {
-        upstreams.hear_list_loads(told, known.version, from, as_of);
+        upstreams.apply_list_loads(told, known.version, from, as_of);
     }
     control.delivering.quarantine.hear(&message.suspicions, from, as_of);
-    for upstream in upstreams.hear_doubts(&message.doubts, from, as_of) {
+    for upstream in upstreams.merge_suspicions(&message.doubts, from, as_of) {
         control.delivering.log.upstream_suspected(&upstream.name, from);
         control.delivering.metrics.upstream_suspected();
     }
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -122,7 +122,7 @@
     fn divide(&self) {
         let gateways = self.roster.borrow().known_count();
         self.delivering.retries.divide_among(gateways);
-        self.delivering.upstreams.divide_among(gateways);
+        self.delivering.upstreams.set_gateway_count(gateways);
     }
 
     /// Tells the others at once that this gateway leaves.
@@ -146,7 +146,7 @@
         control.peer_states.borrow_mut().evict_idle(now);
         control.delivering.upstreams.prune();
         control.delivering.quarantine.prune();
-        control.delivering.crash_looks.keep_only(|upstream| control.delivering.upstreams.lists(upstream));
+        control.delivering.crash_looks.keep_only(|upstream| control.delivering.upstreams.contains(upstream));
         control.delivering.pacing.prune();
         control.delivering.pool.prune();
     }
--- a/crates/bendhinge_gateway/src/control/pages.rs
+++ b/crates/bendhinge_gateway/src/control/pages.rs
@@ -16,7 +16,7 @@
 
 use super::Control;
 use crate::dialect::{
-    ForeignEntry, LatestChanges, StoreChanges, StorePage, StorePart, StoredRules, TranslateError,
+    ForeignEntry, LatestChanges, ParseError, StoreChanges, StorePage, StorePart, StoredRules,
 };
 
 /// The largest page that is read.
@@ -34,7 +34,7 @@
     #[error(transparent)]
     Fetch(#[from] FetchError),
     #[error(transparent)]
-    Form(#[from] TranslateError),
+    Form(#[from] ParseError),
     #[error("the store has more pages than {MOST_PAGES}")]
     Endless,
     #[error("the store tells no changes since revision {}", .0.0)]
@@ -108,10 +108,10 @@
     pub(super) async fn read_whole(self: &Rc<Self>, part: StorePart) -> Result<Found, ReadError> {
         let began = bendhinge_clock::now();
         let page = self.read_page(part, None).await?;
-        if page.next_after.is_none() || !part.has_upstreams() {
+        if page.next_after.is_none() || !part.includes_upstreams() {
             return self.read_on(part, page, began).await;
         }
-        if !self.delivering.upstreams.is_known() {
+        if !self.delivering.upstreams.has_list() {
             let mut contents = Contents { began, ..Contents::default() };
             contents.take(page);
             self.begin_with(contents);
@@ -185,7 +185,7 @@
         let dialect = &self.delivering.dialect;
         // The rules may be among them.
         let body = self.fetch_from_store(&dialect.changes_path(since), RULES_TIME).await?;
-        Ok(dialect.read_changes(&body)?)
+        Ok(dialect.parse_changes(&body)?)
     }
 
     async fn read_page(&self, part: StorePart, after: Option<&str>) -> Result<StorePage, ReadError> {
@@ -194,13 +194,13 @@
         let may_be_large = part == StorePart::Rules || self.knows_nothing();
         let whole = if may_be_large { RULES_TIME } else { self.settings.store.call };
         let body = self.fetch_from_store(&dialect.page_path(part, after), whole).await?;
-        Ok(dialect.read_page(&body, known)?)
+        Ok(dialect.parse_page(&body, known)?)
     }
 
     async fn fetch_from_store(&self, path: &str, whole: Duration) -> Result<bytes::Bytes, ReadError> {
         let store = &self.settings.store;
         let request = Request::get(path).header("host", store.address.to_string());
-        let request = request.body(empty_body()).map_err(|error| TranslateError::new("the path", &error))?;
+        let request = request.body(empty_body()).map_err(|error| ParseError::new("the path", &error))?;
         let time = FetchTime { silence: store.call, whole };
         let fetched: Fetched =
             fetch(&self.delivering.pool, store.address, request, LARGEST_PAGE, time).await?;
@@ -212,7 +212,7 @@
 
     /// The revision of the document of rules that is held.
     fn known_document(&self) -> Option<Revision> {
-        let held = self.delivering.rules.known(bendhinge_clock::now())?;
+        let held = self.delivering.rules.held_version(bendhinge_clock::now())?;
         Some(held.version.document())
     }
 
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -98,7 +98,7 @@
             let page = ReadsPage { index, count: PAGES };
             let reads = self.peers.call(address, async |peer| peer.reads(page).await).await;
             let reads = reads.ok()??;
-            self.delivering.upstreams.recover_reads(&reads);
+            self.delivering.upstreams.restore_reads(&reads);
             parts += reads.len();
         }
         Some(parts)
@@ -107,7 +107,7 @@
     async fn learn_from_upstreams(self: &Rc<Self>) {
         let Some(rules) = self.delivering.rules.current() else { return };
         let keeps_prompts = |pool: &_| rules.rules.pools.get(pool).is_some_and(|rule| rule.caches_prompts);
-        for asked in self.delivering.upstreams.keeping(keeps_prompts).chunks(ASKED_AT_ONCE) {
+        for asked in self.delivering.upstreams.available_in_pools(keeps_prompts).chunks(ASKED_AT_ONCE) {
             let listings: Vec<_> = asked.iter().map(|upstream| self.learn_from_upstream(upstream)).collect();
             for listing in listings {
                 listing.await;
@@ -121,7 +121,7 @@
         let upstream = Arc::clone(upstream);
         self.executor.spawn(async move {
             let reads = control.listed_by(&upstream).await;
-            control.delivering.upstreams.recover_reads(&reads);
+            control.delivering.upstreams.restore_reads(&reads);
             control.delivering.log.recovered("upstream", upstream.address, reads.len());
         })
     }
@@ -129,14 +129,14 @@
     async fn listed_by(&self, upstream: &UpstreamEntry) -> Vec<ObservedRead> {
         let dialect = &self.delivering.dialect;
         let pool = &self.delivering.pool;
-        let fetched = fetch_path(pool, upstream.address, dialect.kept_path(), LIST_TIME).await;
+        let fetched = fetch_path(pool, upstream.address, dialect.cached_parts_path(), LIST_TIME).await;
         let Ok(Fetched { status, headers, body }) = fetched else { return Vec::new() };
         // Were another at the address by now, the one that is meant would be gone: what is kept from it is no loss.
-        self.delivering.note_availability(None, upstream, dialect.read_availability(status, &headers));
+        self.delivering.note_availability(None, upstream, dialect.parse_availability(status, &headers));
         if status != StatusCode::OK {
             return Vec::new();
         }
-        let parts = dialect.read_kept(&body).unwrap_or_default();
+        let parts = dialect.parse_cached_parts(&body).unwrap_or_default();
         let worth_it = parts.into_iter().filter(|part| part.tokens >= LEAST_TOKENS);
         worth_it
             .map(|part| ObservedRead { part: part.id, upstream: upstream.hash, age: Duration::ZERO })
--- a/crates/bendhinge_gateway/src/control/store.rs
+++ b/crates/bendhinge_gateway/src/control/store.rs
@@ -132,8 +132,8 @@
     /// The store's revision up to which all that it holds is known here.
     fn held_up_to(&self) -> Option<Revision> {
         let now = bendhinge_clock::now();
-        let rules = self.delivering.rules.known(now)?;
-        let upstreams = self.delivering.upstreams.known(now)?;
+        let rules = self.delivering.rules.held_version(now)?;
+        let upstreams = self.delivering.upstreams.held_version(now)?;
         Some(rules.version.revision.min(upstreams.version.revision))
     }
 
@@ -145,7 +145,7 @@
 
     /// How long this gateway waits before it reads a long list to its end.
     pub(super) fn turn_to_read_on(&self, now: Instant) -> Duration {
-        let holds_list = self.delivering.upstreams.is_known();
+        let holds_list = self.delivering.upstreams.has_list();
         self.upstreams_reading.plan.borrow().full_list_delay(self.own_rank(now), holds_list)
     }
 
@@ -174,7 +174,7 @@
     /// has both the list and the rules, so both are read in one call. That is over with the first list, which may come
     /// without rules, and with a read that took too long.
     pub(super) fn knows_nothing(&self) -> bool {
-        let is_empty = self.delivering.rules.current().is_none() && !self.delivering.upstreams.is_known();
+        let is_empty = self.delivering.rules.current().is_none() && !self.delivering.upstreams.has_list();
         is_empty && !self.is_read_along_slow.get()
     }
 
@@ -239,7 +239,7 @@
         metrics.foreign_entries(foreign.len());
         let before = self.foreign.replace(foreign.clone());
         for came in foreign.difference(&before).take(MOST_LINES) {
-            log.foreign_entry(&came.key, Some(&came.why));
+            log.foreign_entry(&came.key, Some(&came.reason));
         }
         let is_gone = |gone: &&ForeignEntry| !foreign.iter().any(|entry| entry.key == gone.key);
         for gone in before.iter().filter(is_gone).take(MOST_LINES) {
@@ -255,7 +255,7 @@
             // All that start read this page, so it is no news to any.
             self.hold_rules(&just_read(version), began, document, Origin::Store);
         }
-        self.delivering.upstreams.begin_with(Arc::new(contents.into_list()));
+        self.delivering.upstreams.apply_partial_list(Arc::new(contents.into_list()));
     }
 
     fn take_contents(self: &Rc<Self>, part: StorePart, mut contents: Contents) {
@@ -263,7 +263,7 @@
         if let Some(rules) = contents.rules.take() {
             self.take_stored_rules(rules, at, began);
         }
-        if !part.has_upstreams() {
+        if !part.includes_upstreams() {
             return;
         }
         self.note_foreign(&contents.foreign.drain(..).collect());
@@ -276,12 +276,12 @@
         mut drained: Vec<DataCentreName>,
         changes: LatestChanges,
     ) {
-        let LatestChanges { at, rules, came, gone, foreign, keys } = changes;
+        let LatestChanges { at, rules, updated, removed, foreign, keys } = changes;
         drained.sort_unstable();
         drained.dedup();
         let now = bendhinge_clock::now();
         let Delivering { rules: held_rules, upstreams, .. } = &*self.delivering;
-        match (rules, held_rules.known(now)) {
+        match (rules, held_rules.held_version(now)) {
             (Some(rules), _) => self.take_stored_rules(rules, at, began),
             (None, Some(held)) => {
                 held_rules.confirm(Version { revision: at, ..held.version }, began);
@@ -293,12 +293,12 @@
         all_foreign.retain(|entry| !was_touched(entry));
         all_foreign.extend(foreign);
         self.note_foreign(&all_foreign);
-        let (Some(list), Some(held)) = (upstreams.list(), upstreams.known(now)) else { return };
-        if came.is_empty() && gone.is_empty() && drained == list.drained {
+        let (Some(list), Some(held)) = (upstreams.list(), upstreams.held_version(now)) else { return };
+        if updated.is_empty() && removed.is_empty() && drained == list.drained {
             upstreams.confirm(Version { revision: at, ..held.version }, began);
             return;
         }
-        self.take_stored_list(list.with_store_changes(came, &gone, drained), at, began);
+        self.take_stored_list(list.with_store_changes(updated, &removed, drained), at, began);
     }
 
     /// Takes the list that the store held at the revision `at`, by a read that began at `began`.
@@ -310,7 +310,7 @@
     /// Takes the rules that the store held at the revision `at`, by a read that began at `began`.
     fn take_stored_rules(self: &Rc<Self>, rules: StoredRules, at: Revision, began: Instant) {
         let version = Version::of_document(rules.revision, at);
-        if self.delivering.rules.lacks(version) {
+        if self.delivering.rules.needs(version) {
             self.take_rules(&just_read(version), began, rules.document, Origin::Store);
         } else {
             self.delivering.rules.confirm(version, began);
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -16,8 +16,8 @@
 
 use super::race::Sent;
 use super::{Delivering, Turn};
-use crate::dialect::{AnswerFields, AttemptFields, Availability};
-use crate::knowledge::Chosen;
+use crate::dialect::{Availability, ResponseFields, UpstreamRequestFields};
+use crate::state::ChosenUpstream;
 
 /// A request that must not run twice goes on a connection that was used this lately, or on a new
 /// one: an upstream may forget one that stands idle without a word.
@@ -26,7 +26,7 @@
 /// An answer whose head is there.
 pub(super) struct Attempt {
     pub(super) sent: Sent,
-    pub(super) chosen: Chosen,
+    pub(super) chosen: ChosenUpstream,
     pub(super) head: response::Parts,
     pub(super) body: AttemptBody,
 }
@@ -61,7 +61,7 @@
 /// A send that is to be made.
 pub(super) struct NewSend {
     pub(super) sent: Sent,
-    pub(super) chosen: Chosen,
+    pub(super) chosen: ChosenUpstream,
     /// How long it may take.
     pub(super) left: Duration,
     /// The event after which the upstream is to go on.
@@ -116,7 +116,7 @@
 fn outgoing(
     delivering: &Delivering,
     turn: &Turn,
-    chosen: &Chosen,
+    chosen: &ChosenUpstream,
     left: Duration,
     resume_after: Option<&str>,
 ) -> Request<Body> {
@@ -124,7 +124,7 @@
     *request.method_mut() = turn.head.method.clone();
     *request.uri_mut() = turn.head.uri.clone();
     *request.headers_mut() = turn.head.headers.clone();
-    let fields = AttemptFields {
+    let fields = UpstreamRequestFields {
         upstream: &chosen.entry,
         time_left: left,
         customer: turn.customer.as_ref().map(|customer| &customer.name),
@@ -132,14 +132,14 @@
         fetch_from: chosen.fetch_from,
         resume_after,
     };
-    delivering.dialect.write_attempt(request.headers_mut(), &fields);
+    delivering.dialect.write_request_headers(request.headers_mut(), &fields);
     request
 }
 
 async fn exchange(
     delivering: &Delivering,
     turn: &Turn,
-    chosen: &Chosen,
+    chosen: &ChosenUpstream,
     request: Request<Body>,
 ) -> Result<(Response<Incoming>, Connection), Ended> {
     let address = chosen.entry.address;
@@ -197,17 +197,17 @@
 async fn take_answer(
     delivering: &Arc<Delivering>,
     turn: &Turn,
-    chosen: &Chosen,
+    chosen: &ChosenUpstream,
     answer: Response<Incoming>,
     connection: Connection,
 ) -> Result<(response::Parts, AttemptBody), Ended> {
     let (head, body) = answer.into_parts();
-    let fields = delivering.dialect.read_answer(&head);
+    let fields = delivering.dialect.parse_response_head(&head);
     if fields.id != turn.call.id {
         // A late answer to an earlier request: nothing on this connection can be trusted.
         return Err(SendEnd::Spoilt.into());
     }
-    if !fields.is_another {
+    if !fields.is_misdirected {
         delivering.note_said(turn, &chosen.entry, &fields);
     }
     if let Some(end) = not_run(&fields) {
@@ -215,7 +215,7 @@
         return Err(end.into());
     }
     let is_success = head.status.is_success();
-    if is_success && !fields.is_stamped {
+    if is_success && !fields.is_signed {
         return Err(SendEnd::Spoilt.into());
     }
     if is_success && turn.route.kind.is_stream() && is_event_stream(&head.headers) {
@@ -235,11 +235,11 @@
 }
 
 /// Only an upstream that says so itself did not run a request.
-const fn not_run(fields: &AnswerFields) -> Option<SendEnd> {
-    if fields.is_another {
+const fn not_run(fields: &ResponseFields) -> Option<SendEnd> {
+    if fields.is_misdirected {
         return Some(SendEnd::Replaced);
     }
-    if fields.not_run { Some(SendEnd::Rejected) } else { None }
+    if fields.not_executed { Some(SendEnd::Rejected) } else { None }
 }
 
 /// Statuses that promise that a request did not run. An upstream that answers with one without
@@ -302,9 +302,9 @@
     }
 
     /// Notes what an upstream says of itself in an answer to the turn.
-    fn note_said(&self, turn: &Turn, upstream: &UpstreamEntry, fields: &AnswerFields) {
+    fn note_said(&self, turn: &Turn, upstream: &UpstreamEntry, fields: &ResponseFields) {
         if let Some(load) = fields.load {
-            self.upstreams.load_said(upstream.hash, load);
+            self.upstreams.record_load(upstream.hash, load);
         }
         let request = turn.call.id.as_ref().and_then(|id| id.to_str().ok());
         self.note_availability(request, upstream, fields.availability);
@@ -318,12 +318,12 @@
         upstream: &UpstreamEntry,
         said: Availability,
     ) {
-        if let Some(rest) = said.rest {
-            let spared = self.upstreams.asked_to_rest(upstream.hash, rest);
+        if let Some(rest) = said.backoff {
+            let spared = self.upstreams.record_backoff(upstream.hash, rest);
             self.metrics.rest_asked();
             self.log.rest_asked(request, &upstream.name, rest, spared);
         }
-        if said.is_leaving && self.upstreams.leaves(upstream.hash) {
+        if said.is_leaving && self.upstreams.record_leaving(upstream.hash) {
             self.metrics.leaving_said();
             self.log.leaving_said(request, &upstream.name);
         }
@@ -331,14 +331,14 @@
 
     /// Whether the turn may be sent now: rules may have changed, or grown too old to act on, and so may the
     /// list of upstreams, or it may have been put under quarantine.
-    fn may_still_be_sent(&self, turn: &Turn, chosen: &Chosen) -> bool {
+    fn may_still_be_sent(&self, turn: &Turn, chosen: &ChosenUpstream) -> bool {
         let is_in_time = bendhinge_clock::now() < turn.limit;
         let is_quarantined =
             || self.suspect(turn).is_some_and(|digest| self.quarantine.is_quarantined(digest));
         is_in_time
             && !is_quarantined()
             && turn.is_allowed(&self.rules)
-            && self.upstreams.may_be_sent_to(chosen.entry.hash)
+            && self.upstreams.is_available(chosen.entry.hash)
     }
 }
 
--- a/crates/bendhinge_gateway/src/delivery/crash.rs
+++ b/crates/bendhinge_gateway/src/delivery/crash.rs
@@ -69,7 +69,7 @@
 }
 
 async fn has_crashed(delivering: &Delivering, upstream: &UpstreamEntry, lost: Instant) -> bool {
-    if !delivering.upstreams.takes_work(upstream.hash) {
+    if !delivering.upstreams.accepts_work(upstream.hash) {
         // One that leaves ends with what it still runs.
         return false;
     }
@@ -82,7 +82,7 @@
 /// that it may not have to give. A box that is gone, or the way to it, gives no answer instead.
 async fn is_refused_by(delivering: &Delivering, upstream: &UpstreamEntry) -> bool {
     Timer::after(ENDING).await;
-    if delivering.upstreams.has_own(upstream.hash) || delivering.pool.has_idle(upstream.address) {
+    if delivering.upstreams.has_own_requests(upstream.hash) || delivering.pool.has_idle(upstream.address) {
         return false;
     }
     match delivering.pool.connect(upstream.address).await {
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -25,21 +25,21 @@
 use self::crash::look_into;
 use self::race::{FailedSend, Sending, Sent, race};
 use self::relay::{Relay, Source, relayed};
-use crate::dialect::{CallFields, Dialect};
+use crate::dialect::{Dialect, RequestFields};
 use crate::intake::Refused;
 use crate::intake::headers;
-use crate::knowledge::{Chosen, PlacementQuestion, RulesKeeper, UpstreamView};
 use crate::lifecycle::InProgress;
 use crate::log::{Log, RequestLine};
 use crate::metrics::Metrics;
 use crate::pacing::Pacing;
 use crate::quarantine::{Kept, QuarantineKeeper, WatchedSend};
 use crate::retries::Retries;
+use crate::state::{ChosenUpstream, PlacementRequest, RulesReplica, UpstreamView};
 
 /// What delivery needs of the other duties.
 pub(crate) struct Delivering {
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) rules: Arc<RulesKeeper>,
+    pub(crate) rules: Arc<RulesReplica>,
     pub(crate) upstreams: Arc<UpstreamView>,
     pub(crate) retries: Retries,
     pub(crate) pacing: Pacing,
@@ -55,7 +55,7 @@
 
 /// One request that is allowed.
 pub(crate) struct Turn {
-    pub(crate) call: CallFields,
+    pub(crate) call: RequestFields,
     pub(crate) route: Arc<Route>,
     pub(crate) pool: PoolName,
     pub(crate) customer: Option<Arc<Customer>>,
@@ -85,7 +85,7 @@
         /// is longer: the first upstream to end its rest is not to get all of them at once.
         const SPREAD: f64 = 0.25;
         const LEAST_SPREAD: Duration = Duration::from_millis(200);
-        let end = self.upstreams.first_rest_end(&turn.pool, turn.regions())?;
+        let end = self.upstreams.earliest_backoff_end(&turn.pool, turn.regions())?;
         let left = end.since(bendhinge_clock::now());
         Some(left + left.mul_f64(SPREAD).max(LEAST_SPREAD).mul_f64(rand::rng().random()))
     }
@@ -105,9 +105,9 @@
     }
 
     /// Whether its key is still held by its customer, by rules that may be acted on.
-    pub(crate) fn is_allowed(&self, rules: &RulesKeeper) -> bool {
+    pub(crate) fn is_allowed(&self, rules: &RulesReplica) -> bool {
         let (Some(key), Some(customer)) = (&self.call.key, &self.customer) else { return true };
-        if !rules.may_be_acted_on() {
+        if !rules.is_within_lease() {
             return false;
         }
         let Some(current) = rules.current() else { return false };
@@ -179,7 +179,7 @@
         Err(GivenUp::Code(code)) => {
             delivery.line.ended(&delivering.log, code.http_status(), Some(code), &delivery.course);
             // Right after the start the first list is a moment away.
-            let needs_another_list = code == ResultCode::NoUpstream && delivering.upstreams.is_known();
+            let needs_another_list = code == ResultCode::NoUpstream && delivering.upstreams.has_list();
             let retry_after = needs_another_list.then(with_the_next_list);
             Err(Refused { code, was_sent: true, retry_after, digest: None })
         }
@@ -223,7 +223,7 @@
             let sending = self.send(resume_after, self.course.has_spare_run())?;
             match self.answer_to(sending, resume_after).await {
                 Ok(attempt) => {
-                    self.delivering.upstreams.answered(attempt.chosen.entry.hash);
+                    self.delivering.upstreams.record_response(attempt.chosen.entry.hash);
                     self.note_answer();
                     self.delivering.metrics.first_byte(bendhinge_clock::now().since(self.turn.began));
                     return Ok(attempt);
@@ -310,18 +310,18 @@
         }
     }
 
-    fn choose(&self, may_try: bool) -> Result<Chosen, GivenUp> {
+    fn choose(&self, may_try: bool) -> Result<ChosenUpstream, GivenUp> {
         if !self.turn.is_allowed(&self.delivering.rules) {
             return Err(GivenUp::Code(self.unless_uncertain(ResultCode::ViewNotFresh)));
         }
         let rules = self.delivering.rules.current();
-        let question = PlacementQuestion {
+        let question = PlacementRequest {
             pool: &self.turn.pool,
             rule: rules.as_ref().and_then(|current| current.rules.pools.get(&self.turn.pool)),
             prompt: self.turn.call.prompt.as_ref(),
             regions: self.turn.regions(),
             tried: &self.tried,
-            may_try,
+            may_probe: may_try,
             tie_breaker: self.turn.tie_breaker,
         };
         self.delivering.upstreams.choose(&question).ok_or_else(|| self.untaken())
@@ -357,7 +357,7 @@
         metrics.send_ended(end);
         match end {
             SendEnd::Rejected if self.is_paced => {
-                let upstreams = upstreams.working_in(&self.turn.pool);
+                let upstreams = upstreams.count_accepting_work(&self.turn.pool);
                 self.delivering.pacing.turned_away(&self.turn.pool, upstream.hash, upstreams);
             }
             SendEnd::Failed => {
@@ -370,7 +370,8 @@
             }
             _ => {}
         }
-        if upstream_failure(end).is_some_and(|failure| upstreams.failed(upstream.hash, failure, *at)) {
+        if upstream_failure(end).is_some_and(|failure| upstreams.record_failure(upstream.hash, failure, *at))
+        {
             log.upstream_rests(&upstream.name, end);
         }
         self.course.ended(end)
--- a/crates/bendhinge_gateway/src/delivery/race.rs
+++ b/crates/bendhinge_gateway/src/delivery/race.rs
@@ -11,8 +11,8 @@
 use smol::Timer;
 
 use super::attempt::{Attempt, Ended};
-use crate::knowledge::Chosen;
 use crate::quarantine::WatchedSend;
+use crate::state::ChosenUpstream;
 
 type Answer = Pin<Box<dyn Future<Output = Result<Attempt, Ended>> + Send>>;
 
@@ -29,8 +29,8 @@
 }
 
 impl Sent {
-    pub(super) fn new(number: usize, chosen: &Chosen, watched: Option<Arc<WatchedSend>>) -> Self {
-        Self { number, upstream: Arc::clone(&chosen.entry), at: chosen.at, _watched: watched }
+    pub(super) fn new(number: usize, chosen: &ChosenUpstream, watched: Option<Arc<WatchedSend>>) -> Self {
+        Self { number, upstream: Arc::clone(&chosen.entry), at: chosen.chosen_at, _watched: watched }
     }
 }
 
--- a/crates/bendhinge_gateway/src/delivery/relay.rs
+++ b/crates/bendhinge_gateway/src/delivery/relay.rs
@@ -19,8 +19,8 @@
 use super::Delivery;
 use super::attempt::{Attempt, AttemptBody};
 use super::race::Sent;
-use crate::knowledge::Chosen;
 use crate::lifecycle::InProgress;
+use crate::state::ChosenUpstream;
 
 /// How often longer than the longest pause on time a stream may be silent before it goes on
 /// elsewhere, where it can.
@@ -40,7 +40,7 @@
 pub(super) struct Source {
     pub(super) sent: Sent,
     /// Its place at the upstream is held as long as the stream comes from there.
-    pub(super) _chosen: Chosen,
+    pub(super) _chosen: ChosenUpstream,
     pub(super) headers: HeaderMap,
     pub(super) body: Incoming,
     pub(super) connection: Connection,
--- a/crates/bendhinge_gateway/src/dialect.rs
+++ b/crates/bendhinge_gateway/src/dialect.rs
@@ -1,5 +1,5 @@
-//! What an adapter translates: how callers, upstreams and the platform's store spell what this
-//! program decides about. An adapter decides, remembers and recovers nothing.
+//! Interface to the protocols of callers, upstreams and the store. An implementation only translates between
+//! these protocols and the types of this module; it holds no state and makes no decisions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,192 +15,192 @@
 use hyper::{HeaderMap, StatusCode};
 use rustc_hash::FxHashSet;
 
-/// What a caller's request says.
+/// The fields of a caller's request.
 #[derive(Debug, Default)]
-pub struct CallFields {
-    /// Its number, as the caller wrote it; every answer carries it back.
+pub struct RequestFields {
+    /// The request ID as sent by the caller, which every response repeats.
     pub id: Option<HeaderValue>,
-    /// The key that it carries.
+    /// The API key.
     pub key: Option<String>,
-    /// How long the caller will wait.
-    pub deadline: Option<Duration>,
-    /// The parts of its prompt, where it has one.
+    /// How long the caller waits for a response.
+    pub timeout: Option<Duration>,
+    /// The prompt.
     pub prompt: Option<Prompt>,
-    /// The event after which the caller goes on with a stream that broke off.
+    /// The ID of the last event that the caller received of an interrupted stream.
     pub resume_after: Option<String>,
 }
 
-/// What the gateway says to an upstream beside what the caller said.
+/// The fields that the gateway adds to a request to an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptFields<'a> {
-    /// The upstream that is meant, and no other at its address.
+pub struct UpstreamRequestFields<'a> {
+    /// The upstream instance that the request is for. Another instance at the same address has to reject it.
     pub upstream: &'a UpstreamEntry,
-    /// How long the answer is waited for.
+    /// How long the gateway waits for the response.
     pub time_left: Duration,
-    /// Whose request it is.
+    /// The customer that sent the request.
     pub customer: Option<&'a CustomerName>,
-    /// Its rank; 0 is the most urgent.
+    /// The priority; 0 is the highest.
     pub priority: u8,
-    /// Where the upstream should fetch what it lacks of the prompt.
+    /// The upstream to fetch missing prompt parts from.
     pub fetch_from: Option<SocketAddr>,
-    /// The last event that the caller has of a stream that broke off.
+    /// The ID of the last event that the caller received of an interrupted stream.
     pub resume_after: Option<&'a str>,
 }
 
-/// What an upstream said of its load.
+/// The load that an upstream reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LoadSaid {
-    /// Requests that it works on.
+pub struct ReportedLoad {
+    /// The number of requests in progress.
     pub running: u32,
-    /// Requests that wait there.
+    /// The number of queued requests.
     pub waiting: u32,
 }
 
-/// What the head of an upstream's answer says.
+/// The fields in the head of an upstream's response.
 #[derive(Debug, Default)]
-pub struct AnswerFields {
-    /// The number of the request that it answers.
+pub struct ResponseFields {
+    /// The ID of the request.
     pub id: Option<HeaderValue>,
-    /// Whether it carries the upstream's signature.
-    pub is_stamped: bool,
-    /// Whether the upstream says that it did not run the request.
-    pub not_run: bool,
-    /// Whether it is not the upstream that was meant.
-    pub is_another: bool,
-    /// What it says of its load.
-    pub load: Option<LoadSaid>,
-    /// Whether it wants further requests.
+    /// Whether the response has the signature of the upstream.
+    pub is_signed: bool,
+    /// Whether the upstream states that it did not execute the request.
+    pub not_executed: bool,
+    /// Whether the request reached an upstream other than the intended one.
+    pub is_misdirected: bool,
+    /// The reported load.
+    pub load: Option<ReportedLoad>,
+    /// Whether the upstream accepts further requests.
     pub availability: Availability,
 }
 
-/// What an upstream said of whether it wants further requests.
+/// Whether an upstream accepts further requests, as reported by itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Availability {
-    /// For how long it wants none from this gateway.
-    pub rest: Option<Duration>,
-    /// Whether it leaves.
+    /// How long this gateway should send no requests.
+    pub backoff: Option<Duration>,
+    /// Whether the upstream is leaving.
     pub is_leaving: bool,
 }
 
-/// What an answer that the gateway makes itself says.
+/// The fields of an error response that the gateway generates.
 #[derive(Clone, Copy, Debug)]
-pub struct RefusalFields<'a> {
-    /// The request's number, if it had one.
+pub struct ErrorResponseFields<'a> {
+    /// The request ID, if the request had one.
     pub id: Option<&'a HeaderValue>,
-    /// What happened.
+    /// The result code.
     pub code: ResultCode,
-    /// When to come back.
+    /// How long the caller should wait before it retries.
     pub retry_after: Option<Duration>,
 }
 
-/// What is asked of the store.
+/// The part of the store to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorePart {
     /// Everything.
     All,
-    /// The list of upstreams, and which data centres are drained.
+    /// The upstreams and the drained data centres.
     Upstreams,
     /// The serving rules.
     Rules,
-    /// Which data centres are drained: little, read for the store's revision.
+    /// The drained data centres. This part is small and serves to read the store's revision.
     Drained,
 }
 
 impl StorePart {
-    /// Whether the list of upstreams is part of it.
+    /// Whether the part includes the upstreams.
     #[must_use]
-    pub const fn has_upstreams(self) -> bool {
+    pub const fn includes_upstreams(self) -> bool {
         matches!(self, Self::All | Self::Upstreams)
     }
 }
 
-/// A page of what the store holds.
+/// A page of the store's contents.
 #[derive(Debug, Default)]
 pub struct StorePage {
-    /// The store's revision when it was read.
+    /// The store's revision at the time of the read.
     pub at: Revision,
-    /// The document of the serving rules, if it is on the page.
+    /// The serving rules, if they are on the page.
     pub rules: Option<StoredRules>,
     /// The upstreams on the page.
     pub upstreams: Vec<UpstreamEntry>,
     /// The drained data centres on the page.
     pub drained: Vec<DataCentreName>,
-    /// What stands where upstreams or drained data centres do, and is none.
+    /// Invalid entries under the keys of upstreams or drained data centres.
     pub foreign: Vec<ForeignEntry>,
-    /// The key after which the next page begins, if there is one.
+    /// The key after which the next page starts, if there is one.
     pub next_after: Option<String>,
 }
 
-/// What changed in the store since a revision.
+/// The changes of the store since a revision.
 #[derive(Debug, Default)]
 pub struct StoreChanges {
-    /// The revision up to which all changes are there.
+    /// The revision up to which the changes are complete.
     pub at: Revision,
-    /// The changes in their order; an entry may have changed more than once.
+    /// The changes in order. An entry may occur more than once.
     pub changes: Vec<StoreChange>,
 }
 
-/// A change of an entry of the store.
+/// A change of a store entry.
 #[derive(Debug)]
 pub struct StoreChange {
-    /// The entry's key.
+    /// The key of the entry.
     pub key: String,
-    /// What the entry is since then.
+    /// The new state of the entry.
     pub entry: ChangedEntry,
 }
 
-/// What an entry of the store became.
+/// The new state of a store entry.
 #[derive(Debug)]
 pub enum ChangedEntry {
-    /// The document of the serving rules.
+    /// The serving rules.
     Rules(StoredRules),
-    /// An upstream.
+    /// An added or modified upstream.
     Upstream(UpstreamEntry),
-    /// No upstream any more, or none at all: it is gone, or of another writer.
-    NoUpstream {
-        /// The upstream for which it stood, if its key names one.
+    /// An upstream whose entry was deleted or replaced by an invalid one.
+    RemovedUpstream {
+        /// The name of the upstream, if the key contains one.
         name: Option<UpstreamName>,
-        /// What stands there now, if another writer wrote it.
+        /// The invalid entry, if there is one.
         foreign: Option<ForeignEntry>,
     },
-    /// Nothing that is read by its changes.
+    /// An entry of another kind, which is not tracked by changes.
     Other,
 }
 
-/// What entries of the store became by the last change of each.
+/// The last change of each store entry.
 #[derive(Debug, Default)]
 pub struct LatestChanges {
-    /// The revision up to which all changes are there.
+    /// The revision up to which the changes are complete.
     pub at: Revision,
-    /// The document of the serving rules, if it changed.
+    /// The serving rules, if they changed.
     pub rules: Option<StoredRules>,
-    /// Upstreams that are new or differ.
-    pub came: Vec<UpstreamEntry>,
-    /// Upstreams whose entries are gone, or name no upstream any more.
-    pub gone: Vec<UpstreamName>,
-    /// Entries that name no upstream.
+    /// The added and modified upstreams.
+    pub updated: Vec<UpstreamEntry>,
+    /// The upstreams whose entries were deleted or became invalid.
+    pub removed: Vec<UpstreamName>,
+    /// The invalid entries.
     pub foreign: Vec<ForeignEntry>,
-    /// The keys of all entries that changed.
+    /// The keys of all changed entries.
     pub keys: FxHashSet<String>,
 }
 
 impl StoreChanges {
-    /// The last change of each entry, in their order.
+    /// Returns the last change of each entry, in order.
     #[must_use]
     pub fn latest(self) -> LatestChanges {
         let mut latest = LatestChanges { at: self.at, ..LatestChanges::default() };
-        let mut changes: Vec<ChangedEntry> = Vec::new();
+        let mut last_entries: Vec<ChangedEntry> = Vec::new();
         for change in self.changes.into_iter().rev() {
             if latest.keys.insert(change.key) {
-                changes.push(change.entry);
+                last_entries.push(change.entry);
             }
         }
-        for entry in changes.into_iter().rev() {
+        for entry in last_entries.into_iter().rev() {
             match entry {
                 ChangedEntry::Rules(rules) => latest.rules = Some(rules),
-                ChangedEntry::Upstream(upstream) => latest.came.push(upstream),
-                ChangedEntry::NoUpstream { name, foreign } => {
-                    latest.gone.extend(name);
+                ChangedEntry::Upstream(upstream) => latest.updated.push(upstream),
+                ChangedEntry::RemovedUpstream { name, foreign } => {
+                    latest.removed.extend(name);
                     latest.foreign.extend(foreign);
                 }
                 ChangedEntry::Other => {}
@@ -210,140 +210,141 @@
     }
 }
 
-/// An entry of another writer: it names nothing that could be used, and hides nothing else.
+/// A store entry that cannot be parsed, such as one written by another program. It is skipped and reported.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ForeignEntry {
-    /// Its key, as far as it can be read.
+    /// The key, as far as it can be parsed.
     pub key: String,
-    /// What is wrong with it.
-    pub why: String,
+    /// Why the entry cannot be parsed.
+    pub reason: String,
 }
 
 impl ForeignEntry {
-    /// An entry with what is `why` wrong with it; both are cut to the length of a line.
-    pub fn new(mut key: String, why: &impl ToString) -> Self {
-        /// Keys can be some 200 bytes, and an error can hold a part of the value.
-        const LONGEST: usize = 160;
-        let mut why = why.to_string();
-        for text in [&mut key, &mut why] {
-            text.truncate(text.floor_char_boundary(LONGEST));
+    /// Creates an entry. Both texts are truncated to a length suitable for a log line.
+    pub fn new(mut key: String, reason: &impl ToString) -> Self {
+        /// Keys can be long, and an error can quote a part of the value.
+        const MAX_TEXT_BYTES: usize = 160;
+        let mut reason = reason.to_string();
+        for text in [&mut key, &mut reason] {
+            text.truncate(text.floor_char_boundary(MAX_TEXT_BYTES));
         }
-        Self { key, why }
+        Self { key, reason }
     }
 }
 
-/// The document of the serving rules as stored.
+/// The serving rules as stored.
 #[derive(Debug)]
 pub struct StoredRules {
-    /// The revision of its last change.
+    /// The store revision of the last change.
     pub revision: Revision,
     /// The document.
     pub document: Bytes,
 }
 
-/// Why something could not be translated.
+/// An error while parsing a message or document.
 #[derive(Debug, thiserror::Error)]
-#[error("{what} cannot be read: {why}")]
-pub struct TranslateError {
-    /// What it is.
-    pub what: &'static str,
-    /// What is wrong with it.
-    pub why: String,
+#[error("cannot parse {subject}: {reason}")]
+pub struct ParseError {
+    /// What was parsed.
+    pub subject: &'static str,
+    /// Why it is invalid.
+    pub reason: String,
 }
 
-impl TranslateError {
-    /// An error about `what`.
-    pub fn new(what: &'static str, why: &(impl ToString + ?Sized)) -> Self {
-        Self { what, why: why.to_string() }
+impl ParseError {
+    /// Creates an error for `subject`.
+    pub fn new(subject: &'static str, reason: &(impl ToString + ?Sized)) -> Self {
+        Self { subject, reason: reason.to_string() }
     }
 }
 
-/// The text of a header, if it is there; `Err` says that it is none.
+/// Returns the value of a header, if present, or an error message if it is not text.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, String> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     value.to_str().map(Some).map_err(|_| format!("{name} is not text"))
 }
 
-/// Sets a header. Names, numbers and addresses are valid values, and an event's id came in a header
-/// or a line; anything else is left out.
-pub fn put_header(headers: &mut HeaderMap, name: HeaderName, value: &str) {
+/// Sets a header. Has no effect if `value` is not a valid header value.
+pub fn insert_header(headers: &mut HeaderMap, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
 }
 
-/// The rest that an upstream asks for when it turns a request away: `Retry-After` of a 503 or 429, in seconds, whole or
-/// with a fraction. Of several the longest counts. A date is not read, since it says nothing without the time of day,
-/// which boxes do not agree on; what is no number asks for nothing.
+/// Returns the backoff that an upstream requests with `Retry-After` in a 503 or 429 response, in seconds with an
+/// optional fraction. If there are several headers, the longest one counts. Dates are ignored, since the clocks of
+/// boxes are not synchronized, and so are invalid values.
 #[must_use]
-pub fn read_rest(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
+pub fn parse_retry_after(status: StatusCode, headers: &HeaderMap) -> Option<Duration> {
     if !matches!(status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) {
         return None;
     }
-    let asked = headers.get_all(RETRY_AFTER).iter().filter_map(|value| read_seconds(value.to_str().ok()?));
-    asked.max().filter(|rest| !rest.is_zero())
+    let backoffs =
+        headers.get_all(RETRY_AFTER).iter().filter_map(|value| parse_seconds(value.to_str().ok()?));
+    backoffs.max().filter(|backoff| !backoff.is_zero())
 }
 
-/// Reads digits with at most one point among them.
-fn read_seconds(text: &str) -> Option<Duration> {
+/// Parses a number of seconds, which has only digits and at most one decimal point.
+fn parse_seconds(text: &str) -> Option<Duration> {
     let text = text.trim();
     if !text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
         return None;
     }
-    // What is too long for its type is as long as can be.
+    // A value that is too large for `Duration` is clamped.
     Some(Duration::try_from_secs_f64(text.parse().ok()?).unwrap_or(Duration::MAX))
 }
 
-/// Reads `ID:TOKENS,ID:TOKENS`, the ids in `radix`; `Err` says that it is something else.
-pub fn read_prompt(text: &str, radix: u32) -> Result<Prompt, String> {
+/// Parses prompt parts of the form `ID:TOKENS,ID:TOKENS` with IDs in the given radix. The error is a message for
+/// the caller.
+pub fn parse_prompt(text: &str, radix: u32) -> Result<Prompt, String> {
     let parts = text.split(',').map(|part| {
         let (id, tokens) = part.trim().split_once(':')?;
         let id = u64::from_str_radix(id, radix).ok()?;
         Some(PromptPart { id: PartId(id), tokens: tokens.parse().ok()? })
     });
     let parts = parts.collect::<Option<Vec<_>>>();
-    parts.map(Prompt::new).ok_or_else(|| format!("'{text}' is not a list of parts"))
+    parts.map(Prompt::new).ok_or_else(|| format!("'{text}' is not a list of ID:TOKENS pairs"))
 }
 
-/// How callers spell their requests, and how they are answered.
+/// The protocol between callers and the gateway.
 pub trait CallerDialect {
-    /// Reads the head of a request; `Err` says what is wrong with it.
-    fn read_call(&self, head: &request::Parts) -> Result<CallFields, String>;
-    /// Writes the headers and gives the body of an answer that the gateway makes itself.
-    fn write_refusal(&self, headers: &mut HeaderMap, refusal: &RefusalFields<'_>) -> Bytes;
-    /// The path at which a balancer asks whether the gateway is ready.
+    /// Parses the head of a request. The error describes the invalid header.
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestFields, String>;
+    /// Writes the headers of an error response and returns its body.
+    fn write_error_response(&self, headers: &mut HeaderMap, fields: &ErrorResponseFields<'_>) -> Bytes;
+    /// Returns the path of the readiness check.
     fn ready_path(&self) -> &'static str;
 }
 
-/// How upstreams spell theirs.
+/// The protocol between the gateway and upstreams.
 pub trait UpstreamDialect {
-    /// Takes out of a caller's headers what callers may not say, and puts in what the gateway says.
-    fn write_attempt(&self, headers: &mut HeaderMap, fields: &AttemptFields<'_>);
-    /// Reads the head of an answer.
-    fn read_answer(&self, head: &response::Parts) -> AnswerFields;
-    /// Reads what the head of any answer says of whether the upstream wants further requests.
-    fn read_availability(&self, status: StatusCode, headers: &HeaderMap) -> Availability;
-    /// The path at which an upstream lists the parts of prompts that it keeps.
-    fn kept_path(&self) -> &'static str;
-    /// Reads such a list.
-    fn read_kept(&self, body: &[u8]) -> Result<Vec<PromptPart>, TranslateError>;
+    /// Removes the headers that callers must not set, and adds those of the gateway.
+    fn write_request_headers(&self, headers: &mut HeaderMap, fields: &UpstreamRequestFields<'_>);
+    /// Parses the head of a response.
+    fn parse_response_head(&self, head: &response::Parts) -> ResponseFields;
+    /// Parses from the head of any response whether the upstream accepts further requests.
+    fn parse_availability(&self, status: StatusCode, headers: &HeaderMap) -> Availability;
+    /// Returns the path at which an upstream lists its cached prompt parts.
+    fn cached_parts_path(&self) -> &'static str;
+    /// Parses a list of cached prompt parts.
+    fn parse_cached_parts(&self, body: &[u8]) -> Result<Vec<PromptPart>, ParseError>;
 }
 
-/// How the platform's store spells what it holds.
+/// The protocol of the store.
 pub trait StoreDialect {
-    /// The path of the first page of `part`, or of the one that begins after a key.
+    /// Returns the path of the first page of `part`, or of the page that starts after a key.
     fn page_path(&self, part: StorePart, after: Option<&str>) -> String;
-    /// Reads a page. The document of the rules may be left out if its revision is `known`.
-    fn read_page(&self, body: &[u8], known: Option<Revision>) -> Result<StorePage, TranslateError>;
-    /// The path of all that changed since a revision.
+    /// Parses a page. The rules document may be omitted if its revision is `known`.
+    fn parse_page(&self, body: &[u8], known: Option<Revision>) -> Result<StorePage, ParseError>;
+    /// Returns the path of the changes since a revision.
     fn changes_path(&self, since: Revision) -> String;
-    /// Reads such an answer.
-    fn read_changes(&self, body: &[u8]) -> Result<StoreChanges, TranslateError>;
-    /// Reads the document of the serving rules.
-    fn read_rules(&self, document: &[u8]) -> Result<ServingRules, TranslateError>;
+    /// Parses a list of changes.
+    fn parse_changes(&self, body: &[u8]) -> Result<StoreChanges, ParseError>;
+    /// Parses the serving rules.
+    fn parse_rules(&self, document: &[u8]) -> Result<ServingRules, ParseError>;
 }
 
-/// Everything that an adapter translates.
+/// The protocols of one platform.
 pub trait Dialect: CallerDialect + UpstreamDialect + StoreDialect + Send + Sync + 'static {}
 
 impl<T: CallerDialect + UpstreamDialect + StoreDialect + Send + Sync + 'static> Dialect for T {}
--- a/crates/bendhinge_gateway/src/intake/mod.rs
+++ b/crates/bendhinge_gateway/src/intake/mod.rs
@@ -20,9 +20,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::delivery::{Delivering, Turn, deliver};
-use crate::dialect::{CallFields, RefusalFields};
-use crate::knowledge::RulesInForce;
+use crate::dialect::{ErrorResponseFields, RequestFields};
 use crate::lifecycle::Lifecycle;
+use crate::state::ActiveRules;
 
 /// A request that gets no upstream's answer, with what its caller is told.
 #[derive(Clone, Copy, Debug)]
@@ -68,7 +68,7 @@
     // The HTTP library drops a length that stands before a transfer coding; what comes behind
     // such a request could be part of it to another reader, and is not read (RFC 9112, 6.1).
     let ends_connection = head.headers.contains_key(TRANSFER_ENCODING);
-    let call = intake.delivering.dialect.read_call(&head);
+    let call = intake.delivering.dialect.parse_request(&head);
     let id = call.as_ref().ok().and_then(|call| call.id.clone());
     let served = match call {
         Ok(call) => intake.serve(head, body, call, began).await,
@@ -98,7 +98,7 @@
         &self,
         mut head: request::Parts,
         body: Incoming,
-        call: CallFields,
+        call: RequestFields,
         began: Instant,
     ) -> Result<Response<Body>, Refused> {
         check_form(&head)?;
@@ -106,16 +106,16 @@
             return Err(ResultCode::RouterStopping.into());
         }
         let tie_breaker = rand::rng().random();
-        let current = self.delivering.rules.current_or_first(call.deadline).await;
+        let current = self.delivering.rules.current_or_wait(call.timeout).await;
         let current = current.ok_or(ResultCode::NoConfiguration)?;
         let allowed = allow(&current, &head, &call)?;
-        if allowed.customer.is_some() && !self.delivering.rules.may_be_acted_on() {
+        if allowed.customer.is_some() && !self.delivering.rules.is_within_lease() {
             return Err(ResultCode::ViewNotFresh.into());
         }
         drop(current);
         let in_progress = self.lifecycle.begin();
         let limit =
-            began + call.deadline.map_or(allowed.route.timeout, |left| left.min(allowed.route.timeout));
+            began + call.timeout.map_or(allowed.route.timeout, |left| left.min(allowed.route.timeout));
         let body = read(body, &allowed.limits, limit).await?;
         headers::to_upstream(&mut head.headers);
         let customer_priority = allowed.customer.as_ref().and_then(|customer| customer.priority);
@@ -149,8 +149,9 @@
         *answer.status_mut() =
             StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let body =
-            delivering.dialect.write_refusal(answer.headers_mut(), &RefusalFields { id, code, retry_after });
+        let body = delivering
+            .dialect
+            .write_error_response(answer.headers_mut(), &ErrorResponseFields { id, code, retry_after });
         *answer.body_mut() = full_body(body);
         answer
     }
@@ -161,7 +162,7 @@
     Duration::from_millis(rand::rng().random_range(80..250))
 }
 
-fn allow(current: &RulesInForce, head: &request::Parts, call: &CallFields) -> Result<Allowed, Refused> {
+fn allow(current: &ActiveRules, head: &request::Parts, call: &RequestFields) -> Result<Allowed, Refused> {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let rules = &current.rules;
     let route = rules.routes.find(host, head.uri.path()).ok_or(ResultCode::UnknownModel)?;
@@ -172,9 +173,9 @@
 
 /// Finds whose request it is. A key that nobody holds is refused even where none is needed.
 fn authenticate(
-    current: &RulesInForce,
+    current: &ActiveRules,
     route: &Route,
-    call: &CallFields,
+    call: &RequestFields,
 ) -> Result<Option<Arc<Customer>>, Refused> {
     let customers = &current.rules.customers;
     match &call.key {
@@ -188,7 +189,7 @@
 }
 
 /// A point from 0 up to 1 for dividing traffic: the same wherever the same request comes.
-fn split_point(call: &CallFields) -> f64 {
+fn split_point(call: &RequestFields) -> f64 {
     match &call.id {
         Some(id) => hash_to_fraction(xxh3_64(id.as_bytes())),
         None => rand::rng().random(),
--- a/crates/bendhinge_gateway/src/lib.rs
+++ b/crates/bendhinge_gateway/src/lib.rs
@@ -6,7 +6,7 @@
 //! * `intake`: a caller's request up to the decision to serve it,
 //! * `delivery`: sends until there is one answer, and passing it back whole,
 //! * `quarantine`: the requests under which upstreams crash,
-//! * `knowledge`: the rules in force and the upstreams, with the age of what is believed,
+//! * `state`: the active serving rules and the upstreams, with the age of each replica,
 //! * `control`: the other gateways and the platform's store, from which knowledge comes,
 //! * `lifecycle`, `ready`: starting, being ready, stopping.
 //!
@@ -18,7 +18,6 @@
 mod delivery;
 pub mod dialect;
 mod intake;
-mod knowledge;
 mod lifecycle;
 mod log;
 mod metrics;
@@ -29,5 +28,6 @@
 mod retries;
 mod run;
 pub mod settings;
+mod state;
 
 pub use run::{main, reference};
--- a/crates/bendhinge_gateway/src/log/request.rs
+++ b/crates/bendhinge_gateway/src/log/request.rs
@@ -7,7 +7,7 @@
 
 use super::{Log, millis};
 use crate::delivery::Turn;
-use crate::knowledge::Chosen;
+use crate::state::ChosenUpstream;
 
 #[derive(Serialize)]
 struct Send {
@@ -61,14 +61,14 @@
     }
 
     /// It is sent; gives the number of the send.
-    pub(crate) fn sent(&mut self, chosen: &Chosen) -> usize {
+    pub(crate) fn sent(&mut self, chosen: &ChosenUpstream) -> usize {
         let at_ms = self.at_ms();
         self.sends.push(Send {
             upstream: chosen.entry.name.to_string(),
             why: chosen.reason.as_str(),
             load: chosen.load,
             mean_load: chosen.mean_load,
-            missing: chosen.missing,
+            missing: chosen.missing_tokens,
             at_ms,
             list_age_ms: millis(chosen.list_age),
             end: None,
--- a/crates/bendhinge_gateway/src/native/callers.rs
+++ b/crates/bendhinge_gateway/src/native/callers.rs
@@ -1,4 +1,4 @@
-//! Callers in the product's own interface.
+//! The native protocol between callers and the gateway.
 
 use std::time::Duration;
 
@@ -10,29 +10,30 @@
 
 use super::Native;
 use super::headers::{CODE, DEADLINE, PROMPT, RAN, REQUEST, RESUME_AFTER};
-use crate::dialect::{CallFields, CallerDialect, RefusalFields, header_text, read_prompt};
+use crate::dialect::{CallerDialect, ErrorResponseFields, RequestFields, header_text, parse_prompt};
 
-/// How the ids of a prompt's parts are written.
+/// The radix of prompt part IDs.
 const ID_RADIX: u32 = 10;
 
 impl CallerDialect for Native {
-    fn read_call(&self, head: &request::Parts) -> Result<CallFields, String> {
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestFields, String> {
         let headers = &head.headers;
-        let deadline = header_text(headers, &DEADLINE)?.map(read_millis).transpose()?;
-        let prompt = header_text(headers, &PROMPT)?.map(|text| read_prompt(text, ID_RADIX)).transpose()?;
+        let timeout = header_text(headers, &DEADLINE)?.map(parse_millis).transpose()?;
+        let prompt = header_text(headers, &PROMPT)?.map(|text| parse_prompt(text, ID_RADIX)).transpose()?;
         let key = header_text(headers, &AUTHORIZATION)?;
-        Ok(CallFields {
+        Ok(RequestFields {
             id: headers.get(REQUEST).cloned(),
             key: key.map(|value| value.strip_prefix("Bearer ").unwrap_or_default().to_owned()),
-            deadline,
+            timeout,
             prompt,
             resume_after: header_text(headers, &RESUME_AFTER)?.map(str::to_owned),
         })
     }
 
-    fn write_refusal(&self, headers: &mut HeaderMap, refusal: &RefusalFields<'_>) -> Bytes {
-        let RefusalFields { id, code, retry_after } = *refusal;
-        let value = |text: &str| HeaderValue::from_str(text).expect("digits and words are valid headers");
+    fn write_error_response(&self, headers: &mut HeaderMap, fields: &ErrorResponseFields<'_>) -> Bytes {
+        let ErrorResponseFields { id, code, retry_after } = *fields;
+        let header_value =
+            |text: &str| HeaderValue::from_str(text).expect("codes and words are valid header values");
         if let Some(id) = id {
             headers.insert(REQUEST, id.clone());
         }
@@ -41,9 +42,9 @@
             headers.insert(RETRY_AFTER, seconds.into());
             headers.insert("retry-after-ms", u64::try_from(after.as_millis()).unwrap_or(u64::MAX).into());
         }
-        headers.insert(CODE, value(&code.to_string()));
+        headers.insert(CODE, header_value(&code.to_string()));
         let ran = code.ran().map_or("no", bendhinge_codes::Ran::as_str);
-        headers.insert(RAN, value(ran));
+        headers.insert(RAN, header_value(ran));
         let message = format!("{} {}", code.means(), code.action());
         json!({ "error": { "code": code.to_string(), "message": message, "ran": ran } }).to_string().into()
     }
@@ -53,7 +54,7 @@
     }
 }
 
-fn read_millis(text: &str) -> Result<Duration, String> {
+fn parse_millis(text: &str) -> Result<Duration, String> {
     let millis = text.parse().map_err(|_| format!("'{text}' is not a number of milliseconds"))?;
     Ok(Duration::from_millis(millis))
 }
--- a/crates/bendhinge_gateway/src/native/mod.rs
+++ b/crates/bendhinge_gateway/src/native/mod.rs
@@ -1,6 +1,6 @@
-//! The product's own interface: its headers, its rules in INI, its store pages in JSON.
+//! The native protocols: HTTP headers, serving rules in INI and store pages in JSON.
 //!
-//! It is what an adapter for another platform stands in for, and what the tests run on.
+//! Adapters for other platforms replace this module. The tests use it.
 
 mod callers;
 mod rules;
@@ -9,38 +9,38 @@
 
 pub use rules::SCHEMA as RULES_SCHEMA;
 
-/// The product's own spelling.
+/// The native implementation of the protocols.
 #[derive(Clone, Copy, Debug)]
 pub struct Native;
 
-/// The product's own headers.
+/// The headers of the native protocols.
 pub mod headers {
     use hyper::header::HeaderName;
 
-    /// A request's number.
+    /// The request ID.
     pub const REQUEST: HeaderName = HeaderName::from_static("x-bendhinge-request");
-    /// The time that the caller still has, in milliseconds.
+    /// How long the sender waits for the response, in milliseconds.
     pub const DEADLINE: HeaderName = HeaderName::from_static("x-bendhinge-deadline-ms");
-    /// The parts of a prompt, `NUMBER:TOKENS` separated by commas.
+    /// The parts of a prompt as `ID:TOKENS`, separated by commas.
     pub const PROMPT: HeaderName = HeaderName::from_static("x-bendhinge-prompt");
-    /// The event after which a stream goes on.
+    /// The ID of the event after which to resume a stream.
     pub const RESUME_AFTER: HeaderName = HeaderName::from_static("last-event-id");
-    /// The upstream that is meant.
+    /// The name of the upstream that the request is for.
     pub const UPSTREAM: HeaderName = HeaderName::from_static("x-bendhinge-upstream");
-    /// Whose request it is.
+    /// The customer that sent the request.
     pub const CUSTOMER: HeaderName = HeaderName::from_static("x-bendhinge-customer");
-    /// How urgent a request is; 0 is the most urgent.
+    /// The priority of a request; 0 is the highest.
     pub const PRIORITY: HeaderName = HeaderName::from_static("x-bendhinge-priority");
-    /// From where the upstream should fetch what it lacks of the prompt.
+    /// The address of the upstream to fetch missing prompt parts from.
     pub const FETCH_FROM: HeaderName = HeaderName::from_static("x-bendhinge-fetch-from");
-    /// An upstream's signature under an answer.
+    /// The signature of the upstream that sent a response.
     pub const SIGNATURE: HeaderName = HeaderName::from_static("x-bendhinge-signature");
-    /// Whether the request ran: `yes`, `no` or `unknown`.
+    /// Whether the request was executed: `yes`, `no` or `unknown`.
     pub const RAN: HeaderName = HeaderName::from_static("x-bendhinge-ran");
-    /// An upstream's load, `RUNNING,WAITING`.
+    /// The load of an upstream as `RUNNING,WAITING`.
     pub const LOAD: HeaderName = HeaderName::from_static("x-bendhinge-load");
-    /// That the upstream leaves: `yes`.
+    /// `yes` if the upstream is leaving.
     pub const LEAVING: HeaderName = HeaderName::from_static("x-bendhinge-leaving");
-    /// The result code of an answer that the gateway makes itself.
+    /// The result code of an error response from the gateway.
     pub const CODE: HeaderName = HeaderName::from_static("x-bendhinge-code");
 }
--- a/crates/bendhinge_gateway/src/native/rules.rs
+++ b/crates/bendhinge_gateway/src/native/rules.rs
@@ -1,4 +1,4 @@
-//! Serving rules in the product's own form: an INI document.
+//! The native format of the serving rules, an INI document.
 
 use std::str::FromStr;
 
@@ -10,21 +10,21 @@
     ServingRules, TrafficSplit, WeightedPool,
 };
 
-use crate::dialect::TranslateError;
+use crate::dialect::ParseError;
 
-/// The schema of the document.
+/// The schema of the serving rules.
 pub const SCHEMA: Schema = Schema { title: "Serving rules", sections: &[RULES, POOL, ROUTE, CUSTOMER] };
 
 const RULES: SectionKind = SectionKind {
     kind: "rules",
     named: false,
     required: true,
-    help: "The document itself, and what callers may send.",
+    help: "The version of the document and limits on requests.",
     keys: &[
-        Key::new("version", "whole number", None, "Its number; a later version has a higher one."),
-        Key::new("body_bytes", "bytes", Some("4M"), "The largest request body."),
-        Key::new("arrival_ms", "milliseconds", Some("5000"), "How long a request may take to arrive."),
-        Key::new("idle_ms", "milliseconds", Some("15000"), "How long a connection may stand idle."),
+        Key::new("version", "whole number", None, "The version number; it increases with each change."),
+        Key::new("body_bytes", "bytes", Some("4M"), "The maximum size of a request body."),
+        Key::new("arrival_ms", "milliseconds", Some("5000"), "The maximum time to receive a request."),
+        Key::new("idle_ms", "milliseconds", Some("15000"), "The maximum idle time of a connection."),
     ],
 };
 
@@ -32,15 +32,20 @@
     kind: "pool",
     named: true,
     required: true,
-    help: "Upstreams that can stand in for one another.",
+    help: "Interchangeable upstreams.",
     keys: &[
-        Key::new("keeps_prompts", "yes or no", Some("no"), "Whether they keep what they read of prompts."),
-        Key::new("moves_prompts", "yes or no", Some("no"), "Whether one can fetch that from another."),
+        Key::new("keeps_prompts", "yes or no", Some("no"), "Whether upstreams cache prompt parts."),
+        Key::new(
+            "moves_prompts",
+            "yes or no",
+            Some("no"),
+            "Whether upstreams can fetch cached parts from each other.",
+        ),
         Key::new(
             "warming_rate",
             "number",
             Some(""),
-            "Requests a second that one upstream bears while it warms up; none is no limit.",
+            "The maximum requests per second to an upstream that is warming up; empty means no limit.",
         ),
     ],
 };
@@ -49,19 +54,34 @@
     kind: "route",
     named: true,
     required: true,
-    help: "Where requests go by host and path, and what may be done with them.",
+    help: "The pools and the policy for requests to a host and path.",
     keys: &[
-        Key::new("host", "name", None, "The host that it answers to."),
-        Key::new("path", "path", None, "What paths begin with; begins and ends with a slash."),
-        Key::new("kind", "safe, unsafe, stream or resumable", None, "What may be done with its requests."),
-        Key::new("pools", "NAME:WEIGHT, ...", None, "Where its traffic goes."),
-        Key::new("timeout_ms", "milliseconds", None, "The longest time for which a request is held."),
-        Key::new("target_ms", "milliseconds", None, "The time within which an answer is on time."),
-        Key::new("gap_ms", "milliseconds", Some(""), "The longest pause within a stream that is on time."),
-        Key::new("priority", "0 to 9", Some("5"), "Its rank; 0 is the most urgent."),
-        Key::new("attempts", "whole number", Some("1"), "To how many upstreams one request may be sent."),
-        Key::new("open", "yes or no", Some("no"), "Whether requests without a key are served."),
-        Key::new("regions", "NAME, ...", Some(""), "The regions whose upstreams may run them; none is all."),
+        Key::new("host", "name", None, "The host that the route matches."),
+        Key::new(
+            "path",
+            "path",
+            None,
+            "The path prefix that the route matches; starts and ends with a slash.",
+        ),
+        Key::new(
+            "kind",
+            "safe, unsafe, stream or resumable",
+            None,
+            "Whether requests can be repeated or streams resumed.",
+        ),
+        Key::new("pools", "NAME:WEIGHT, ...", None, "The pools that share the traffic, by weight."),
+        Key::new("timeout_ms", "milliseconds", None, "The maximum total time of a request."),
+        Key::new("target_ms", "milliseconds", None, "The target latency of a response."),
+        Key::new(
+            "gap_ms",
+            "milliseconds",
+            Some(""),
+            "The target for the longest gap between events of a stream.",
+        ),
+        Key::new("priority", "0 to 9", Some("5"), "The priority; 0 is the highest."),
+        Key::new("attempts", "whole number", Some("1"), "The maximum number of attempts per request."),
+        Key::new("open", "yes or no", Some("no"), "Whether requests without an API key are allowed."),
+        Key::new("regions", "NAME, ...", Some(""), "The regions in which requests may run; empty means all."),
     ],
 };
 
@@ -69,11 +89,11 @@
     kind: "customer",
     named: true,
     required: false,
-    help: "Who may call.",
+    help: "A customer that may send requests.",
     keys: &[
-        Key::new("keys", "KEY, ...", Some(""), "Its keys."),
-        Key::new("priority", "0 to 9", Some(""), "Its rank, which goes before that of the route."),
-        Key::new("regions", "NAME, ...", Some(""), "The regions whose upstreams may run its requests."),
+        Key::new("keys", "KEY, ...", Some(""), "The API keys."),
+        Key::new("priority", "0 to 9", Some(""), "The priority, which overrides that of the route."),
+        Key::new("regions", "NAME, ...", Some(""), "The regions in which requests may run; empty means all."),
     ],
 };
 
@@ -86,7 +106,7 @@
         match text {
             "yes" => Ok(Self(true)),
             "no" => Ok(Self(false)),
-            _ => Err("neither 'yes' nor 'no'"),
+            _ => Err("expected 'yes' or 'no'"),
         }
     }
 }
@@ -102,9 +122,9 @@
     }
 }
 
-struct KindName(RouteKind);
+struct RouteKindName(RouteKind);
 
-impl FromStr for KindName {
+impl FromStr for RouteKindName {
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -113,14 +133,14 @@
             "unsafe" => Ok(Self(RouteKind::Unsafe)),
             "stream" => Ok(Self(RouteKind::Stream { resumable: false })),
             "resumable" => Ok(Self(RouteKind::Stream { resumable: true })),
-            _ => Err("not a kind of route"),
+            _ => Err("expected safe, unsafe, stream or resumable"),
         }
     }
 }
 
-struct WeightedPools(TrafficSplit);
+struct PoolWeights(TrafficSplit);
 
-impl FromStr for WeightedPools {
+impl FromStr for PoolWeights {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -134,12 +154,12 @@
     }
 }
 
-/// Reads the document.
-pub(super) fn read(bytes: &[u8]) -> Result<ServingRules, TranslateError> {
-    let text = std::str::from_utf8(bytes).map_err(|error| TranslateError::new("the rules", &error))?;
+/// Parses the serving rules.
+pub(super) fn parse(bytes: &[u8]) -> Result<ServingRules, ParseError> {
+    let text = std::str::from_utf8(bytes).map_err(|error| ParseError::new("serving rules", &error))?;
     let document = Document::parse("rules", text, &SCHEMA);
     let rules = Reader(&document).rules();
-    document.finish(rules).map_err(|faults| TranslateError::new("the rules", &faults))
+    document.finish(rules).map_err(|errors| ParseError::new("serving rules", &errors))
 }
 
 struct Reader<'a>(&'a Document);
@@ -166,21 +186,25 @@
     }
 
     fn limits(&self, section: &Section) -> Option<CallerLimits> {
-        let body_bytes = self.0.byte_count(section, "body_bytes");
-        let arrival = self.0.millis(section, "arrival_ms");
-        let idle = self.0.millis(section, "idle_ms");
-        Some(CallerLimits { max_body_bytes: body_bytes?, receive_timeout: arrival?, idle_timeout: idle? })
+        let max_body_bytes = self.0.byte_count(section, "body_bytes");
+        let receive_timeout = self.0.millis(section, "arrival_ms");
+        let idle_timeout = self.0.millis(section, "idle_ms");
+        Some(CallerLimits {
+            max_body_bytes: max_body_bytes?,
+            receive_timeout: receive_timeout?,
+            idle_timeout: idle_timeout?,
+        })
     }
 
     fn pool(&self, section: &Section) -> Option<(PoolName, PoolRule)> {
         let name = self.0.name(section);
-        let keeps_prompts = self.flag(section, "keeps_prompts");
-        let moves_prompts = self.flag(section, "moves_prompts");
-        let warming_rate = self.0.optional(section, "warming_rate");
+        let caches_prompts = self.flag(section, "keeps_prompts");
+        let transfers_prompts = self.flag(section, "moves_prompts");
+        let warmup_rate = self.0.optional(section, "warming_rate");
         let rule = PoolRule {
-            caches_prompts: keeps_prompts?,
-            transfers_cached_prompts: moves_prompts?,
-            warmup_requests_per_second: warming_rate,
+            caches_prompts: caches_prompts?,
+            transfers_cached_prompts: transfers_prompts?,
+            warmup_requests_per_second: warmup_rate,
             ..PoolRule::default()
         };
         Some((name?, rule))
@@ -199,14 +223,14 @@
         let name: Option<PoolName> = self.0.name(section);
         let host = self.0.value::<String>(section, "host");
         let path_prefix = self.path(section);
-        let kind = self.0.value::<KindName>(section, "kind");
-        let split = self.0.value::<WeightedPools>(section, "pools");
+        let kind = self.0.value::<RouteKindName>(section, "kind");
+        let split = self.0.value::<PoolWeights>(section, "pools");
         let timeout = self.0.millis(section, "timeout_ms");
-        let target = self.0.millis(section, "target_ms");
+        let target_latency = self.0.millis(section, "target_ms");
         let target_gap = self.0.optional::<Millis>(section, "gap_ms").map(|gap| gap.0);
         let priority = self.0.value(section, "priority");
-        let attempts = self.0.value(section, "attempts");
-        let is_open = self.flag(section, "open");
+        let max_attempts = self.0.value(section, "attempts");
+        let allow_anonymous = self.flag(section, "open");
         let regions = self.regions(section);
         Some(Route {
             name: name?.to_string(),
@@ -214,11 +238,11 @@
             path_prefix: path_prefix?,
             kind: kind?.0,
             timeout: timeout?,
-            target_latency: target?,
+            target_latency: target_latency?,
             target_gap,
             priority: priority?,
-            max_attempts: attempts?,
-            allow_anonymous: is_open?,
+            max_attempts: max_attempts?,
+            allow_anonymous: allow_anonymous?,
             regions: regions?,
             split: split?.0,
         })
@@ -233,7 +257,7 @@
         if path.starts_with('/') && path.ends_with('/') {
             return Some(path);
         }
-        let message = format!("'path = {path}' does not begin and end with a slash; write /{path}/");
+        let message = format!("'path = {path}' does not start and end with a slash; write /{path}/");
         self.0.fault_at(section, "path", ResultCode::InvalidValue, message);
         None
     }
--- a/crates/bendhinge_gateway/src/native/store.rs
+++ b/crates/bendhinge_gateway/src/native/store.rs
@@ -1,4 +1,4 @@
-//! The store in the product's own interface: pages of JSON at `/v1/fleet`, and of its parts below.
+//! The native protocol of the store: JSON pages at `/v1/fleet` and the paths below.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 
 use super::{Native, rules};
 use crate::dialect::{
-    ChangedEntry, ForeignEntry, StoreChange, StoreChanges, StoreDialect, StorePage, StorePart, StoredRules,
-    TranslateError,
+    ChangedEntry, ForeignEntry, ParseError, StoreChange, StoreChanges, StoreDialect, StorePage, StorePart,
+    StoredRules,
 };
 
-/// What stands for the key of the rules among changes: no upstream's name has this sign.
+/// The key of the serving rules among changes. Upstream names contain no slash.
 const RULES_KEY: &str = "/rules";
 
-/// A page.
+/// A page of the store's contents or changes.
 #[derive(Debug, Default, Deserialize, Serialize)]
 pub(super) struct Page {
     at: u64,
     #[serde(default)]
     rules: Option<RulesItem>,
-    /// Each is read by itself: one that cannot be read must not hide the others.
+    /// Each entry is parsed on its own, so that an invalid one does not affect the others.
     #[serde(default)]
     upstreams: Vec<Box<RawValue>>,
-    /// Data centres that are to get no new work.
+    /// The drained data centres, which get no new work.
     #[serde(default)]
     drained: Vec<DataCentreName>,
     #[serde(default)]
     next: Option<String>,
-    /// Among changes, the upstreams that are listed no more.
+    /// In a list of changes, the upstreams that were deleted.
     #[serde(default)]
     gone: Vec<UpstreamName>,
 }
@@ -54,16 +54,16 @@
     #[serde(default)]
     draining: bool,
     made: u64,
-    /// What was left of its warm-up when it said so, in milliseconds.
+    /// The remaining warm-up time in milliseconds when the upstream reported it.
     #[serde(default)]
     warm_up_ms: u32,
-    /// The store's revision at which it said so.
+    /// The store revision of that report.
     #[serde(default)]
     warm_up_said: u64,
-    /// When its process started, in milliseconds since 1970.
+    /// The start time of the process in milliseconds since the Unix epoch.
     #[serde(default)]
     born: u64,
-    /// What it runs.
+    /// The software that the upstream runs.
     #[serde(default)]
     software: String,
 }
@@ -79,9 +79,9 @@
         after.map_or_else(|| path.to_owned(), |after| format!("{path}?after={after}"))
     }
 
-    fn read_page(&self, body: &[u8], _: Option<Revision>) -> Result<StorePage, TranslateError> {
-        let page = read(body)?;
-        let (upstreams, foreign) = entries(&page.upstreams);
+    fn parse_page(&self, body: &[u8], _: Option<Revision>) -> Result<StorePage, ParseError> {
+        let page = parse_json(body)?;
+        let (upstreams, foreign) = parse_entries(&page.upstreams);
         Ok(StorePage {
             at: Revision(page.at),
             rules: page.rules.map(stored_rules),
@@ -96,21 +96,21 @@
         format!("/v1/fleet/changes?since={}", since.0)
     }
 
-    fn read_changes(&self, body: &[u8]) -> Result<StoreChanges, TranslateError> {
-        let page = read(body)?;
-        let (came, foreign) = entries(&page.upstreams);
-        let came = came.into_iter().map(|upstream| {
+    fn parse_changes(&self, body: &[u8]) -> Result<StoreChanges, ParseError> {
+        let page = parse_json(body)?;
+        let (updated, foreign) = parse_entries(&page.upstreams);
+        let updated = updated.into_iter().map(|upstream| {
             let key = upstream.name.as_str().to_owned();
             StoreChange { key, entry: ChangedEntry::Upstream(upstream) }
         });
-        let gone = page.gone.into_iter().map(|name| {
+        let removed = page.gone.into_iter().map(|name| {
             let key = name.as_str().to_owned();
-            StoreChange { key, entry: ChangedEntry::NoUpstream { name: Some(name), foreign: None } }
+            StoreChange { key, entry: ChangedEntry::RemovedUpstream { name: Some(name), foreign: None } }
         });
         let foreign = foreign.into_iter().map(|foreign| {
             let key = foreign.key.clone();
             StoreChange {
-                entry: ChangedEntry::NoUpstream { name: key.parse().ok(), foreign: Some(foreign) },
+                entry: ChangedEntry::RemovedUpstream { name: key.parse().ok(), foreign: Some(foreign) },
                 key,
             }
         });
@@ -118,45 +118,45 @@
         let rules = rules.map(|entry| StoreChange { key: RULES_KEY.to_owned(), entry });
         Ok(StoreChanges {
             at: Revision(page.at),
-            changes: came.chain(gone).chain(foreign).chain(rules).collect(),
+            changes: updated.chain(removed).chain(foreign).chain(rules).collect(),
         })
     }
 
-    fn read_rules(&self, document: &[u8]) -> Result<ServingRules, TranslateError> {
-        rules::read(document)
+    fn parse_rules(&self, document: &[u8]) -> Result<ServingRules, ParseError> {
+        rules::parse(document)
     }
 }
 
-fn read(body: &[u8]) -> Result<Page, TranslateError> {
-    serde_json::from_slice(body).map_err(|error| TranslateError::new("a page of the store", &error))
+fn parse_json(body: &[u8]) -> Result<Page, ParseError> {
+    serde_json::from_slice(body).map_err(|error| ParseError::new("store page", &error))
 }
 
 fn stored_rules(item: RulesItem) -> StoredRules {
     StoredRules { revision: Revision(item.revision), document: Bytes::from(item.document) }
 }
 
-/// The entries that name upstreams, and those that do not.
-fn entries(items: &[Box<RawValue>]) -> (Vec<UpstreamEntry>, Vec<ForeignEntry>) {
+/// Parses entries; returns the upstreams and the invalid entries.
+fn parse_entries(items: &[Box<RawValue>]) -> (Vec<UpstreamEntry>, Vec<ForeignEntry>) {
     let (mut upstreams, mut foreign) = (Vec::new(), Vec::new());
     for raw in items {
         match serde_json::from_str::<UpstreamItem>(raw.get()) {
-            Ok(item) => upstreams.push(entry(item)),
-            Err(error) => foreign.push(ForeignEntry::new(name_of(raw), &error)),
+            Ok(item) => upstreams.push(upstream_entry(item)),
+            Err(error) => foreign.push(ForeignEntry::new(entry_name(raw), &error)),
         }
     }
     (upstreams, foreign)
 }
 
-/// The name of an entry of which other things cannot be read; empty if it is not either.
-fn name_of(raw: &RawValue) -> String {
+/// Returns the name in an otherwise invalid entry, or an empty text if the name is invalid too.
+fn entry_name(raw: &RawValue) -> String {
     #[derive(Deserialize)]
-    struct Named {
+    struct NameOnly {
         name: String,
     }
-    serde_json::from_str::<Named>(raw.get()).map(|named| named.name).unwrap_or_default()
+    serde_json::from_str::<NameOnly>(raw.get()).map(|item| item.name).unwrap_or_default()
 }
 
-fn entry(item: UpstreamItem) -> UpstreamEntry {
+fn upstream_entry(item: UpstreamItem) -> UpstreamEntry {
     UpstreamEntry {
         hash: UpstreamEntry::instance_hash(&item.name, item.born),
         name: item.name,
--- a/crates/bendhinge_gateway/src/native/upstreams.rs
+++ b/crates/bendhinge_gateway/src/native/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams in the product's own interface.
+//! The native protocol between the gateway and upstreams.
 
 use bendhinge_placement::PromptPart;
 use hyper::StatusCode;
@@ -11,66 +11,68 @@
     CUSTOMER, DEADLINE, FETCH_FROM, LEAVING, LOAD, PRIORITY, RAN, REQUEST, RESUME_AFTER, SIGNATURE, UPSTREAM,
 };
 use crate::dialect::{
-    AnswerFields, AttemptFields, Availability, LoadSaid, TranslateError, UpstreamDialect, put_header,
-    read_rest,
+    Availability, ParseError, ReportedLoad, ResponseFields, UpstreamDialect, UpstreamRequestFields,
+    insert_header, parse_retry_after,
 };
 
 #[derive(Deserialize)]
-struct Kept {
+struct CachedPartItem {
     part: u64,
     tokens: u32,
 }
 
 impl UpstreamDialect for Native {
-    fn write_attempt(&self, headers: &mut HeaderMap, fields: &AttemptFields<'_>) {
+    fn write_request_headers(&self, headers: &mut HeaderMap, fields: &UpstreamRequestFields<'_>) {
         for name in [AUTHORIZATION, CUSTOMER, UPSTREAM, PRIORITY, FETCH_FROM] {
             headers.remove(name);
         }
-        put_header(headers, DEADLINE, &fields.time_left.as_millis().max(1).to_string());
-        put_header(headers, UPSTREAM, fields.upstream.name.as_str());
-        put_header(headers, PRIORITY, &fields.priority.to_string());
+        insert_header(headers, DEADLINE, &fields.time_left.as_millis().max(1).to_string());
+        insert_header(headers, UPSTREAM, fields.upstream.name.as_str());
+        insert_header(headers, PRIORITY, &fields.priority.to_string());
         if let Some(customer) = fields.customer {
-            put_header(headers, CUSTOMER, customer.as_str());
+            insert_header(headers, CUSTOMER, customer.as_str());
         }
         if let Some(source) = fields.fetch_from {
-            put_header(headers, FETCH_FROM, &source.to_string());
+            insert_header(headers, FETCH_FROM, &source.to_string());
         }
         if let Some(after) = fields.resume_after {
-            put_header(headers, RESUME_AFTER, after);
+            insert_header(headers, RESUME_AFTER, after);
         }
     }
 
-    fn read_answer(&self, head: &response::Parts) -> AnswerFields {
+    fn parse_response_head(&self, head: &response::Parts) -> ResponseFields {
         let headers = &head.headers;
-        AnswerFields {
+        ResponseFields {
             id: headers.get(REQUEST).cloned(),
-            is_stamped: headers.contains_key(SIGNATURE),
-            not_run: headers.get(RAN).is_some_and(|value| value == "no"),
-            is_another: head.status == StatusCode::MISDIRECTED_REQUEST,
-            load: headers.get(LOAD).and_then(read_load),
-            availability: self.read_availability(head.status, headers),
+            is_signed: headers.contains_key(SIGNATURE),
+            not_executed: headers.get(RAN).is_some_and(|value| value == "no"),
+            is_misdirected: head.status == StatusCode::MISDIRECTED_REQUEST,
+            load: headers.get(LOAD).and_then(parse_load),
+            availability: self.parse_availability(head.status, headers),
         }
     }
 
-    fn read_availability(&self, status: StatusCode, headers: &HeaderMap) -> Availability {
+    fn parse_availability(&self, status: StatusCode, headers: &HeaderMap) -> Availability {
         let is_leaving = headers.get(LEAVING).is_some_and(|value| value == "yes");
-        Availability { rest: read_rest(status, headers), is_leaving }
+        Availability { backoff: parse_retry_after(status, headers), is_leaving }
     }
 
-    fn kept_path(&self) -> &'static str {
+    fn cached_parts_path(&self) -> &'static str {
         "/v1/kept"
     }
 
-    fn read_kept(&self, body: &[u8]) -> Result<Vec<PromptPart>, TranslateError> {
-        let kept: Vec<Kept> =
-            serde_json::from_slice(body).map_err(|error| TranslateError::new("a list of parts", &error))?;
-        let part =
-            |kept: Kept| PromptPart { id: bendhinge_placement::PartId(kept.part), tokens: kept.tokens };
-        Ok(kept.into_iter().map(part).collect())
+    fn parse_cached_parts(&self, body: &[u8]) -> Result<Vec<PromptPart>, ParseError> {
+        let items: Vec<CachedPartItem> = serde_json::from_slice(body)
+            .map_err(|error| ParseError::new("list of cached prompt parts", &error))?;
+        let part = |item: CachedPartItem| PromptPart {
+            id: bendhinge_placement::PartId(item.part),
+            tokens: item.tokens,
+        };
+        Ok(items.into_iter().map(part).collect())
     }
 }
 
-fn read_load(value: &HeaderValue) -> Option<LoadSaid> {
+fn parse_load(value: &HeaderValue) -> Option<ReportedLoad> {
     let (running, waiting) = value.to_str().ok()?.split_once(',')?;
-    Some(LoadSaid { running: running.parse().ok()?, waiting: waiting.parse().ok()? })
+    Some(ReportedLoad { running: running.parse().ok()?, waiting: waiting.parse().ok()? })
 }
--- a/crates/bendhinge_gateway/src/quarantine.rs
+++ b/crates/bendhinge_gateway/src/quarantine.rs
@@ -12,8 +12,8 @@
 use serde_json::json;
 use smol::channel::{Receiver, Sender, bounded};
 
-use crate::knowledge::{learned_from, router_hash};
 use crate::log::Log;
+use crate::state::{address_hash, update_source};
 
 /// Changes that wait to be told, in the time between two messages: more than as many upstreams' crashes make. A
 /// further one goes with the message that the others cause.
@@ -89,7 +89,7 @@
     /// Nothing is known yet; `own` is where peers reach this gateway. What changes goes to the receiver.
     pub(crate) fn new(own: SocketAddr, log: Log) -> (Self, Receiver<SuspicionChange>) {
         let (changes, told) = bounded(MOST_CHANGES);
-        (Self { state: Mutex::new(Quarantine::new(router_hash(own))), changes, log }, told)
+        (Self { state: Mutex::new(Quarantine::new(address_hash(own))), changes, log }, told)
     }
 
     /// Whether something may be known of a request.
@@ -182,7 +182,7 @@
         for heard in suspicions {
             let mut state = self.state.lock().unwrap();
             let before = state.crash_count(heard.request);
-            let changes = state.merge(heard.request, &heard.as_of(as_of), learned_from(from), now);
+            let changes = state.merge(heard.request, &heard.as_of(as_of), update_source(from), now);
             let crashes = state.crash_count(heard.request);
             drop(state);
             if changes {
@@ -199,7 +199,7 @@
 
     /// Whether there is anything to tell the gateway at `listener` at once, see [`QuarantineKeeper::changes`].
     pub(crate) fn has_changes(&self, listener: SocketAddr, since: Instant, tells_on: bool) -> bool {
-        self.state.lock().unwrap().changes_for(learned_from(listener), since, tells_on).next().is_some()
+        self.state.lock().unwrap().changes_for(update_source(listener), since, tells_on).next().is_some()
     }
 
     /// What changed after `since`, to tell the gateway at `listener` at once; what others told, if this one
@@ -212,7 +212,7 @@
         now: Instant,
     ) -> Vec<ObservedSuspicion> {
         let state = self.state.lock().unwrap();
-        let told = state.changes_for(learned_from(listener), since, tells_on);
+        let told = state.changes_for(update_source(listener), since, tells_on);
         told.map(|(request, suspicion)| ObservedSuspicion::of(request, suspicion, now)).collect()
     }
 
--- a/crates/bendhinge_gateway/src/ready.rs
+++ b/crates/bendhinge_gateway/src/ready.rs
@@ -34,7 +34,7 @@
         let lease = self.lease.map_or(Duration::MAX, |lease| lease + PATIENCE);
         !self.lifecycle.is_stopping()
             && age.is_some_and(|age| age <= lease)
-            && self.delivering.upstreams.is_begun()
+            && self.delivering.upstreams.has_list_or_partial()
     }
 
     fn measured_now(&self) -> MeasuredNow {
@@ -44,7 +44,7 @@
             peer_connections: self.traffic.open_connections(),
             peer_sent_bytes: self.traffic.sent_bytes(),
             quarantined: self.delivering.quarantine.quarantined(),
-            upstreams_resting: self.delivering.upstreams.resting(),
+            upstreams_resting: self.delivering.upstreams.backoff_count(),
         }
     }
 
--- a/crates/bendhinge_gateway/src/run.rs
+++ b/crates/bendhinge_gateway/src/run.rs
@@ -20,7 +20,6 @@
 use crate::delivery::{CrashLooks, Delivering};
 use crate::dialect::Dialect;
 use crate::intake::{self, Intake};
-use crate::knowledge::{RulesKeeper, UpstreamView};
 use crate::lifecycle::Lifecycle;
 use crate::log::Log;
 use crate::metrics::{Metrics, MetricsError};
@@ -30,6 +29,7 @@
 use crate::ready::Readiness;
 use crate::retries::Retries;
 use crate::settings::{SCHEMA, Settings};
+use crate::state::{RulesReplica, UpstreamView};
 
 /// How long an idle connection of a caller may stand: longer than any that its configuration
 /// allows, since a caller's request must not cross the close.
@@ -106,7 +106,7 @@
     let (quarantine, suspicions) = QuarantineKeeper::new(settings.peers, log.clone());
     let delivering = Arc::new(Delivering {
         dialect,
-        rules: Arc::new(RulesKeeper::new(settings.beliefs)),
+        rules: Arc::new(RulesReplica::new(settings.beliefs)),
         upstreams: Arc::new(UpstreamView::new(settings.peers, settings.regions.clone(), &settings.upstreams)),
         retries: Retries::new(settings.retries),
         pacing: Pacing::new(log.clone()),
--- /dev/null
+++ b/crates/bendhinge_gateway/src/state/mod.rs
@@ -0,0 +1,10 @@
+//! The state that this gateway decides by: its replicas of the serving rules and the upstream list, and its
+//! records of upstream health, load and cached prompt parts.
+
+mod peers;
+mod rules;
+mod upstreams;
+
+pub(crate) use peers::{address_hash, observed_read, update_source};
+pub(crate) use rules::{ActiveRules, RulesReplica};
+pub(crate) use upstreams::{ChosenUpstream, PlacementRequest, UpstreamView};
--- /dev/null
+++ b/crates/bendhinge_gateway/src/state/upstreams.rs
@@ -0,0 +1,489 @@
+//! View of the upstreams: the list, their health, load and cached prompt parts. Chooses the upstream for a request.
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use bendhinge_admission::Demand;
+use bendhinge_fleet::{
+    Directory, FailureDetector, ListHistory, ListedUpstream, Loads, OutlierDetector, Replica,
+    RequestedBackoffs, UpdateLog, UpdateLogLimits, UpdateOutcome, UpdateSource, UpstreamEntry,
+    UpstreamFailure, UpstreamHealth, UpstreamList, UpstreamLoad, Version,
+};
+use bendhinge_ids::{Instant, NameHash, PoolName};
+use bendhinge_peer::Known;
+use bendhinge_placement::{
+    CachedPart, CachedParts, Candidate, ChoiceReason, CostModel, CostQuery, Prompt, WarmupLimit, choose,
+};
+use bendhinge_routes::{AllowedRegions, PoolRule};
+use rustc_hash::FxHashMap;
+
+use super::peers::address_hash;
+use crate::dialect;
+use crate::settings::{RegionMap, UpstreamSettings};
+
+/// How long an upstream is expected to keep a prompt part in its cache.
+const CACHE_RETENTION: Duration = Duration::from_secs(90);
+/// Limits on the cache updates that are sent to peers. An entry takes 24 bytes before compression, so a batch
+/// takes at most 24 KB. The log is larger than a batch to absorb bursts.
+const CACHE_UPDATE_LIMITS: UpdateLogLimits = UpdateLogLimits {
+    max_entries: 8_192,
+    max_batch_entries: 1_000,
+    max_age: Duration::from_secs(5),
+    max_age_for_new_peer: Duration::from_millis(1_300),
+};
+/// The failure rate assumed for an upstream that is ejected or may only be probed.
+const UNHEALTHY_FAILURE_RATE: f32 = 0.5;
+
+/// The properties of a request that determine its upstream.
+pub(crate) struct PlacementRequest<'a> {
+    pub(crate) pool: &'a PoolName,
+    pub(crate) rule: Option<&'a PoolRule>,
+    pub(crate) prompt: Option<&'a Prompt>,
+    /// The regions allowed by the route and by the customer. The request may only run in regions that both allow.
+    pub(crate) regions: [&'a AllowedRegions; 2],
+    /// Upstreams that previous attempts were sent to.
+    pub(crate) tried: &'a [NameHash],
+    /// Whether the request may probe an ejected upstream, because it can be retried if that fails.
+    pub(crate) may_probe: bool,
+    /// A number that differs between requests, to break ties.
+    pub(crate) tie_breaker: u64,
+}
+
+/// An upstream chosen for a request.
+pub(crate) struct ChosenUpstream {
+    pub(crate) entry: Arc<UpstreamEntry>,
+    pub(crate) fetch_from: Option<SocketAddr>,
+    pub(crate) reason: ChoiceReason,
+    /// The estimated number of requests at the upstream.
+    pub(crate) load: f32,
+    /// The estimated average number of requests per upstream of the pool.
+    pub(crate) mean_load: f32,
+    pub(crate) chosen_at: Instant,
+    /// The age of the upstream list at the time of the choice.
+    pub(crate) list_age: Duration,
+    /// The number of tokens in shared prompt parts that the upstream is not expected to have cached.
+    pub(crate) missing_tokens: u32,
+    /// Counts the request toward the upstream's load until dropped.
+    pub(crate) _guard: RequestGuard,
+}
+
+pub(super) struct State {
+    pub(super) replica: Replica<UpstreamList>,
+    /// Incomplete list that is used until the first complete list arrives.
+    partial_list: Option<Arc<UpstreamList>>,
+    pub(super) directory: Directory,
+    pub(super) outlier_detector: OutlierDetector,
+    /// Backoffs that upstreams requested from this gateway.
+    backoffs: RequestedBackoffs,
+    pub(super) failure_detector: FailureDetector,
+    pub(super) loads: Loads,
+    pub(super) cached_parts: CachedParts,
+    /// Recent additions to `cached_parts`, to be sent to peers.
+    pub(super) cache_updates: UpdateLog<CachedPart>,
+    /// Recently held lists, as bases for deltas.
+    pub(super) list_history: ListHistory,
+    /// Request rate of each pool.
+    demand: FxHashMap<PoolName, Demand>,
+    /// Number of gateways including this one, or `None` if no other is known.
+    gateway_count: Option<usize>,
+}
+
+/// This gateway's view of the upstreams.
+pub(crate) struct UpstreamView {
+    pub(super) state: Mutex<State>,
+    costs: CostModel,
+    regions: RegionMap,
+}
+
+/// Counts a request toward the load of its upstream until dropped.
+pub(crate) struct RequestGuard {
+    view: Arc<UpstreamView>,
+    upstream: NameHash,
+    started_at: Instant,
+}
+
+impl Drop for RequestGuard {
+    fn drop(&mut self) {
+        let duration = bendhinge_clock::now().since(self.started_at);
+        self.view.state.lock().unwrap().loads.end_request(self.upstream, duration);
+    }
+}
+
+impl UpstreamView {
+    /// Creates a view without upstreams. `own_address` is the address at which peers reach this gateway.
+    pub(crate) fn new(own_address: SocketAddr, regions: RegionMap, settings: &UpstreamSettings) -> Self {
+        let state = State {
+            replica: Replica::default(),
+            partial_list: None,
+            directory: Directory::new(settings.directory),
+            outlier_detector: OutlierDetector::new(settings.judge),
+            backoffs: RequestedBackoffs::default(),
+            failure_detector: FailureDetector::new(address_hash(own_address)),
+            loads: Loads::default(),
+            cached_parts: CachedParts::new(CACHE_RETENTION),
+            cache_updates: UpdateLog::new(CACHE_UPDATE_LIMITS),
+            list_history: ListHistory::default(),
+            demand: FxHashMap::default(),
+            gateway_count: None,
+        };
+        let costs = CostModel { load_bound_factor: settings.load_bound, ..CostModel::default() };
+        Self { state: Mutex::new(state), costs, regions }
+    }
+
+    /// Whether a complete list is held.
+    pub(crate) fn has_list(&self) -> bool {
+        self.state.lock().unwrap().replica.current().is_some()
+    }
+
+    /// Whether a complete or a partial list is held.
+    pub(crate) fn has_list_or_partial(&self) -> bool {
+        let state = self.state.lock().unwrap();
+        state.replica.current().is_some() || state.partial_list.is_some()
+    }
+
+    /// Uses a partial list until a complete list arrives. Has no effect if a complete list is held.
+    pub(crate) fn apply_partial_list(&self, list: Arc<UpstreamList>) {
+        let mut state = self.state.lock().unwrap();
+        if state.replica.current().is_none() && !list.entries.is_empty() {
+            state.directory.apply(&list, bendhinge_clock::now());
+            state.partial_list = Some(list);
+        }
+    }
+
+    /// Returns the partial list, if no complete list is held yet.
+    pub(crate) fn partial_list(&self) -> Option<Arc<UpstreamList>> {
+        self.state.lock().unwrap().partial_list.clone()
+    }
+
+    /// Returns the time since the list was last known to be current.
+    pub(crate) fn age(&self, now: Instant) -> Option<Duration> {
+        self.state.lock().unwrap().replica.age(now)
+    }
+
+    /// Returns the held version and the time since it was last known to be current.
+    pub(crate) fn held_version(&self, now: Instant) -> Option<Known> {
+        self.state.lock().unwrap().replica.current().map(|held| Known::of(held, now))
+    }
+
+    /// Returns the held list.
+    pub(crate) fn list(&self) -> Option<Arc<UpstreamList>> {
+        self.state.lock().unwrap().replica.value().cloned()
+    }
+
+    /// Whether `version` is newer than the held one and has to be fetched.
+    pub(crate) fn needs(&self, version: Version) -> bool {
+        self.state.lock().unwrap().replica.needs(version)
+    }
+
+    /// Records that the list of `version` was current as of `as_of`.
+    pub(crate) fn confirm(&self, version: Version, as_of: Instant) -> UpdateOutcome {
+        let mut state = self.state.lock().unwrap();
+        let outcome = state.replica.confirm(version, as_of);
+        if outcome == UpdateOutcome::Confirmed {
+            state.directory.confirm_current(as_of);
+        }
+        outcome
+    }
+
+    /// Installs a list unless a newer or equal revision is held.
+    pub(crate) fn update(&self, version: Version, as_of: Instant, list: UpstreamList) -> UpdateOutcome {
+        let mut state = self.state.lock().unwrap();
+        let State { replica, list_history, .. } = &mut *state;
+        let held = replica.value().cloned();
+        let outcome = replica.update(version, as_of, || {
+            Arc::new(match &held {
+                Some(held) => list.share_entries_with(held),
+                None => list,
+            })
+        });
+        if let (UpdateOutcome::Updated, Some(held)) = (outcome, replica.current()) {
+            list_history.push(held.version.digest, &held.value);
+        }
+        if outcome != UpdateOutcome::Stale {
+            state.directory.confirm_current(as_of);
+        }
+        if outcome == UpdateOutcome::Updated {
+            state.partial_list = None;
+            state.apply_list();
+        }
+        outcome
+    }
+
+    /// Chooses an upstream for a request and counts the request toward its load.
+    pub(crate) fn choose(self: &Arc<Self>, request: &PlacementRequest<'_>) -> Option<ChosenUpstream> {
+        let now = bendhinge_clock::now();
+        let mut state = self.state.lock().unwrap();
+        state.record_demand(request.pool, now);
+        let (listed, candidates) = state.candidates(request, &self.regions, now);
+        let list_age = state.replica.age(now).unwrap_or_default();
+        let query = CostQuery {
+            prompt: request.prompt.filter(|_| request.rule.is_some_and(|rule| rule.caches_prompts)),
+            can_fetch: request.rule.is_some_and(|rule| rule.transfers_cached_prompts),
+            tie_breaker: request.tie_breaker,
+        };
+        let choice = choose(&self.costs, &query, &candidates, &state.cached_parts, now)?;
+        let entry = Arc::clone(&listed[choice.candidate].entry);
+        let fetch_from = choice.fetch_source.map(|source| listed[source].entry.address);
+        let upstream = entry.hash;
+        state.loads.start_request(upstream);
+        state.outlier_detector.record_send(upstream, now);
+        if let Some(prompt) = query.prompt {
+            for cached_part in state.cached_parts.record_prompt(upstream, prompt, now) {
+                state.cache_updates.push(cached_part, UpdateSource::Local, now);
+            }
+        }
+        drop(state);
+        let guard = RequestGuard { view: Arc::clone(self), upstream, started_at: now };
+        let load = candidates[choice.candidate].load;
+        Some(ChosenUpstream {
+            entry,
+            fetch_from,
+            reason: choice.reason,
+            load,
+            mean_load: choice.mean_load,
+            missing_tokens: choice.missing_tokens,
+            list_age,
+            chosen_at: now,
+            _guard: guard,
+        })
+    }
+
+    /// Returns when the earliest requested backoff ends, if all upstreams of the pool that accept work in the allowed
+    /// regions requested one.
+    pub(crate) fn earliest_backoff_end(
+        &self,
+        pool: &PoolName,
+        allowed: [&AllowedRegions; 2],
+    ) -> Option<Instant> {
+        let now = bendhinge_clock::now();
+        let state = self.state.lock().unwrap();
+        if state.backoffs.active_count(now) == 0 {
+            return None;
+        }
+        let listed = state.upstreams_in_regions(pool, allowed, &self.regions);
+        let accepting = listed.into_iter().filter(|listed| listed.accepts_work(now));
+        // `None` stands for no backoff and orders before any end.
+        accepting.map(|listed| state.backoffs.ends_at(listed.entry.hash, now)).min().flatten()
+    }
+
+    /// Whether an upstream accepts new work according to the list and its own notices, regardless of backoffs.
+    pub(crate) fn accepts_work(&self, upstream: NameHash) -> bool {
+        let state = self.state.lock().unwrap();
+        state.directory.get(upstream).is_some_and(|listed| listed.accepts_work(bendhinge_clock::now()))
+    }
+
+    /// Whether requests may be sent to an upstream. Check this again right before sending: the upstream may have
+    /// started to leave, requested a backoff or been drained while the connection was established.
+    pub(crate) fn is_available(&self, upstream: NameHash) -> bool {
+        let state = self.state.lock().unwrap();
+        let now = bendhinge_clock::now();
+        state.directory.get(upstream).is_some_and(|listed| state.is_available(listed, now))
+    }
+
+    /// Returns the number of a pool's upstreams that accept new work. Upstreams in backoff are included, because
+    /// their rejections count toward the decision whether the pool is overloaded.
+    pub(crate) fn count_accepting_work(&self, pool: &PoolName) -> usize {
+        let now = bendhinge_clock::now();
+        let state = self.state.lock().unwrap();
+        let listed = state.directory.upstreams().iter();
+        listed.filter(|listed| listed.entry.pool == *pool && listed.accepts_work(now)).count()
+    }
+
+    /// Records a backoff that an upstream requested; returns the remaining time of its backoff.
+    pub(crate) fn record_backoff(&self, upstream: NameHash, backoff: Duration) -> Duration {
+        let now = bendhinge_clock::now();
+        self.state.lock().unwrap().backoffs.record(upstream, backoff, now).since(now)
+    }
+
+    /// Records that an upstream announced that it is leaving; returns `true` if that is new.
+    pub(crate) fn record_leaving(&self, upstream: NameHash) -> bool {
+        self.state.lock().unwrap().directory.record_leaving(upstream, bendhinge_clock::now())
+    }
+
+    /// Returns the number of upstreams with an active backoff.
+    pub(crate) fn backoff_count(&self) -> usize {
+        self.state.lock().unwrap().backoffs.active_count(bendhinge_clock::now())
+    }
+
+    /// Records a complete response from an upstream, or the head of a streamed one.
+    pub(crate) fn record_response(&self, upstream: NameHash) {
+        let now = bendhinge_clock::now();
+        let mut state = self.state.lock().unwrap();
+        state.outlier_detector.record_success(upstream, now);
+        state.failure_detector.record_response(upstream, now);
+    }
+
+    /// Records the failure of a request that was sent at `sent_at`; returns `true` if the upstream is ejected as a
+    /// result.
+    pub(crate) fn record_failure(
+        &self,
+        upstream: NameHash,
+        failure: UpstreamFailure,
+        sent_at: Instant,
+    ) -> bool {
+        let now = bendhinge_clock::now();
+        let mut state = self.state.lock().unwrap();
+        state.failure_detector.record_failure(upstream, failure, sent_at, now);
+        state.outlier_detector.record_failure(upstream, failure, now)
+    }
+
+    /// Records the load that an upstream reported.
+    pub(crate) fn record_load(&self, upstream: NameHash, load: dialect::ReportedLoad) {
+        let in_progress = load.running.saturating_add(load.waiting);
+        let report = UpstreamLoad { upstream, in_progress, reported_at: bendhinge_clock::now() };
+        self.state.lock().unwrap().loads.record(report, UpdateSource::Local);
+    }
+
+    /// Returns the available upstreams of the pools for which `pool_matches` returns `true`.
+    pub(crate) fn available_in_pools(
+        &self,
+        pool_matches: impl Fn(&PoolName) -> bool,
+    ) -> Vec<Arc<UpstreamEntry>> {
+        let state = self.state.lock().unwrap();
+        let now = bendhinge_clock::now();
+        let listed = state.directory.upstreams().iter().filter(|listed| state.is_available(listed, now));
+        listed.map(|listed| Arc::clone(&listed.entry)).filter(|entry| pool_matches(&entry.pool)).collect()
+    }
+
+    /// Whether requests of this gateway are in progress at an upstream.
+    pub(crate) fn has_own_requests(&self, upstream: NameHash) -> bool {
+        self.state.lock().unwrap().loads.own_requests(upstream) > 0.0
+    }
+
+    /// Whether an upstream is listed or was removed recently.
+    pub(crate) fn contains(&self, upstream: NameHash) -> bool {
+        self.state.lock().unwrap().directory.contains(upstream)
+    }
+
+    /// Returns the software hashes of all upstreams, including recently removed ones.
+    pub(crate) fn software_hashes(&self) -> Vec<NameHash> {
+        self.state.lock().unwrap().directory.upstreams().iter().map(|listed| listed.entry.software).collect()
+    }
+
+    /// Sets the number of known gateways, including this one.
+    pub(crate) fn set_gateway_count(&self, gateway_count: usize) {
+        self.state.lock().unwrap().gateway_count = (gateway_count > 1).then_some(gateway_count);
+    }
+
+    /// Drops expired state.
+    pub(crate) fn prune(&self) {
+        let now = bendhinge_clock::now();
+        let mut state = self.state.lock().unwrap();
+        if state.directory.prune(now) {
+            state.drop_removed();
+        }
+        let State { directory, failure_detector, cached_parts, cache_updates, backoffs, .. } = &mut *state;
+        backoffs.prune(now);
+        cache_updates.evict_expired(now);
+        failure_detector.prune(|upstream| directory.contains(upstream), now);
+        cached_parts.prune(|upstream| directory.contains(upstream), now);
+    }
+}
+
+impl State {
+    fn apply_list(&mut self) {
+        if let Some(list) = self.replica.value() {
+            self.directory.apply(list, bendhinge_clock::now());
+            self.drop_removed();
+        }
+    }
+
+    fn drop_removed(&mut self) {
+        let Self { directory, outlier_detector, loads, .. } = self;
+        outlier_detector.retain_listed(|upstream| directory.contains(upstream));
+        loads.retain_listed(|upstream| directory.contains(upstream));
+    }
+
+    /// Whether requests may be sent to an upstream: it accepts work and has no active backoff.
+    fn is_available(&self, listed: &ListedUpstream, now: Instant) -> bool {
+        listed.accepts_work(now) && self.backoffs.ends_at(listed.entry.hash, now).is_none()
+    }
+
+    /// Returns the pool's upstreams in regions that both `allowed` lists permit.
+    fn upstreams_in_regions(
+        &self,
+        pool: &PoolName,
+        allowed: [&AllowedRegions; 2],
+        regions: &RegionMap,
+    ) -> Vec<&ListedUpstream> {
+        let is_allowed = |listed: &&ListedUpstream| {
+            let region = regions.get(&listed.entry.data_centre);
+            allowed.iter().all(|allowed| allowed.allows(region))
+        };
+        let in_pool = self.directory.upstreams().iter().filter(|listed| listed.entry.pool == *pool);
+        in_pool.filter(is_allowed).collect()
+    }
+
+    /// Returns the pool's upstreams in the allowed regions and the matching candidates, which also serve as sources of
+    /// cached prompt parts. Ejected upstreams take work only if no other candidate does. Upstreams in a requested
+    /// backoff never take work, since sending to them would defeat the backoff when the whole pool is overloaded.
+    fn candidates(
+        &self,
+        request: &PlacementRequest<'_>,
+        regions: &RegionMap,
+        now: Instant,
+    ) -> (Vec<&ListedUpstream>, Vec<Candidate>) {
+        let listed = self.upstreams_in_regions(request.pool, request.regions, regions);
+        let mean_load = self.loads.mean_other_requests(listed.iter().map(|listed| listed.entry.hash), now);
+        let mut candidates: Vec<Candidate> =
+            listed.iter().map(|listed| self.candidate(listed, request, mean_load, now)).collect();
+        if !candidates.iter().any(|candidate| candidate.takes_work) {
+            // Without any healthy candidate, ejected upstreams are better than none.
+            for (candidate, listed) in candidates.iter_mut().zip(&listed) {
+                candidate.takes_work =
+                    self.is_available(listed, now) && !request.tried.contains(&candidate.upstream);
+            }
+        }
+        if let Some(rate) = request.rule.and_then(|rule| rule.warmup_requests_per_second) {
+            let demand = self.demand.get(request.pool).map_or(0.0, |demand| demand.per_second(now));
+            let warmup_limit = WarmupLimit {
+                requests_per_second: rate,
+                demand_per_second: demand,
+                router_count: self.gateway_count,
+            };
+            warmup_limit.exclude_warming(&mut candidates, request.tie_breaker);
+        }
+        (listed, candidates)
+    }
+
+    fn record_demand(&mut self, pool: &PoolName, now: Instant) {
+        match self.demand.get_mut(pool) {
+            Some(demand) => demand.record(now),
+            None => self.demand.entry(pool.clone()).or_default().record(now),
+        }
+    }
+
+    fn candidate(
+        &self,
+        listed: &ListedUpstream,
+        request: &PlacementRequest<'_>,
+        mean_load: f32,
+        now: Instant,
+    ) -> Candidate {
+        let upstream = listed.entry.hash;
+        let health = self.outlier_detector.health(upstream, now);
+        let expected_failure_rate = match health {
+            UpstreamHealth::Healthy { failure_rate } => failure_rate,
+            UpstreamHealth::ProbeAllowed if request.may_probe => 0.0,
+            UpstreamHealth::ProbeAllowed | UpstreamHealth::Ejected => UNHEALTHY_FAILURE_RATE,
+        };
+        let is_eligible = self.is_available(listed, now) && !request.tried.contains(&upstream);
+        // No gateway sends to a drained upstream, so its load has no requests of other gateways.
+        let load = if listed.is_drained {
+            self.loads.own_requests(upstream)
+        } else {
+            self.loads.estimate(upstream, mean_load, now)
+        };
+        Candidate {
+            upstream,
+            load,
+            failure_rate: expected_failure_rate,
+            takes_work: is_eligible && health != UpstreamHealth::Ejected,
+            is_warming: is_eligible && listed.is_warming_up(now),
+            counts_in_mean: listed.stops_at.is_none_or(|stops_at| now < stops_at)
+                && self.backoffs.ends_at(upstream, now).is_none()
+                && health != UpstreamHealth::Ejected,
+        }
+    }
+}
