--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -73,7 +73,7 @@
 /// contact the same first rank.
 fn is_bootstrapping(control: &ControlPlane) -> bool {
     let DeliveryContext { rules, upstreams, .. } = &*control.delivering;
-    rules.current().is_none() || !upstreams.is_begun()
+    rules.current().is_none() || !upstreams.has_list_or_partial()
 }
 
 /// Notifies the push targets of an update. They fetch what they lack.
@@ -198,8 +198,8 @@
         let now = bendhinge_clock::now();
         let max_ages = self.max_replica_ages();
         let DeliveryContext { rules, upstreams, .. } = &*self.delivering;
-        is_fresher(message.rules, rules.known(now), max_ages.rules)
-            || is_fresher(message.upstreams, upstreams.known(now), max_ages.upstreams)
+        is_fresher(message.rules, rules.held_version(now), max_ages.rules)
+            || is_fresher(message.upstreams, upstreams.held_version(now), max_ages.upstreams)
     }
 
     /// Records what the gateway at `address` acknowledged and what was received from it in an
@@ -235,9 +235,9 @@
         let address = message.sender.address;
         let delivering = &self.0.delivering;
         let has_fresher_evidence = control.sender_has_fresher_evidence(&message);
-        let has_updates = message.is_begun && !delivering.upstreams.is_begun()
-            || message.rules.is_some_and(|known| delivering.rules.lacks(known.version))
-            || message.upstreams.is_some_and(|known| delivering.upstreams.lacks(known.version));
+        let has_updates = message.is_begun && !delivering.upstreams.has_list_or_partial()
+            || message.rules.is_some_and(|known| delivering.rules.needs(known.version))
+            || message.upstreams.is_some_and(|known| delivering.upstreams.needs(known.version));
         let now = bendhinge_clock::now();
         let content = match &message {
             message if message.is_brief => MessageContent::Brief,
@@ -262,7 +262,7 @@
 
     fn rules(&self) -> Option<(Known, Bytes)> {
         let rules = &self.0.delivering.rules;
-        let known = rules.known(bendhinge_clock::now())?;
+        let known = rules.held_version(bendhinge_clock::now())?;
         Some((known, rules.current()?.document.clone()))
     }
 
@@ -270,20 +270,20 @@
         self.0
             .is_recovery_done
             .get()
-            .then(|| self.0.delivering.upstreams.all_reads(page, bendhinge_clock::now()))
+            .then(|| self.0.delivering.upstreams.cached_reads(page, bendhinge_clock::now()))
     }
 
     fn list(&self, digest: u64) -> Option<Arc<UpstreamList>> {
-        self.0.delivering.upstreams.held_lately(digest)
+        self.0.delivering.upstreams.recent_list(digest)
     }
 
     fn list_part(&self) -> Option<Arc<UpstreamList>> {
-        self.0.delivering.upstreams.part()
+        self.0.delivering.upstreams.partial_list()
     }
 
     fn upstreams(&self, base: Option<u64>) -> Option<(Known, ListUpdate)> {
         let upstreams = &self.0.delivering.upstreams;
-        let known = upstreams.known(bendhinge_clock::now())?;
-        Some((known, upstreams.list_to_tell(base)?))
+        let known = upstreams.held_version(bendhinge_clock::now())?;
+        Some((known, upstreams.list_update_for(base)?))
     }
 }
--- a/crates/bendhinge_gateway/src/control/fetching.rs
+++ b/crates/bendhinge_gateway/src/control/fetching.rs
@@ -18,8 +18,8 @@
 
 use super::ControlPlane;
 use crate::delivery::DeliveryContext;
-use crate::knowledge::RulesInForce;
 use crate::metrics::Believed;
+use crate::state::ActiveRules;
 
 /// State of the fetches of one value.
 #[derive(Default)]
@@ -66,14 +66,14 @@
         let source = |known: Known| FetchSource { address, version: known.version };
         let list = async {
             if let Some(source) = message.upstreams.map(source) {
-                let needs = |version| upstreams.lacks(version);
+                let needs = |version| upstreams.needs(version);
                 let fetch = async |address| self.fetch_upstream_list(address).await;
                 self.list_fetch.run(source, needs, fetch).await;
             }
         };
         let document = async {
             if let Some(source) = message.rules.map(source) {
-                let needs = |version| rules.lacks(version);
+                let needs = |version| rules.needs(version);
                 let fetch = async |address| self.fetch_rules(address).await;
                 self.rules_fetch.run(source, needs, fetch).await;
             }
@@ -82,7 +82,7 @@
             if message.is_begun {
                 // Partial lists have no versions; any of them will do.
                 let source = FetchSource { address, version: Version::default() };
-                let needs = |_| !upstreams.is_begun();
+                let needs = |_| !upstreams.has_list_or_partial();
                 let fetch = async |address| self.fetch_partial_list(address).await;
                 self.partial_list_fetch.run(source, needs, fetch).await;
             }
@@ -97,7 +97,7 @@
         let fetched = self.peers.call(address, async |peer| peer.list_part().await).await;
         let partial_list = self.record_fetch(Believed::Upstreams, address, requested_at, fetched.map(Some));
         if let Some(partial_list) = partial_list {
-            self.delivering.upstreams.begin_with(Arc::new(partial_list));
+            self.delivering.upstreams.apply_partial_list(Arc::new(partial_list));
         }
     }
 
@@ -110,7 +110,8 @@
     }
 
     async fn fetch_upstream_list(self: &Rc<Self>, address: SocketAddr) {
-        let base = self.delivering.upstreams.known(bendhinge_clock::now()).map(|known| known.version.digest);
+        let base =
+            self.delivering.upstreams.held_version(bendhinge_clock::now()).map(|known| known.version.digest);
         if !self.fetch_list(address, base).await && base.is_some() {
             self.fetch_list(address, None).await;
         }
@@ -126,7 +127,7 @@
         let list = match update {
             ListUpdate::Full(list) => Some(list),
             ListUpdate::Delta { base, delta: changes } => {
-                let list = self.delivering.upstreams.list_with(base, &changes);
+                let list = self.delivering.upstreams.apply_list_delta(base, &changes);
                 list.filter(|list| list.digest() == known.version.digest)
             }
         };
@@ -171,15 +172,15 @@
         document: Bytes,
         origin: Origin,
     ) -> UpdateOutcome {
-        let rules = match self.delivering.dialect.read_rules(&document) {
+        let rules = match self.delivering.dialect.parse_rules(&document) {
             Ok(rules) => rules,
             Err(error) => {
                 self.delivering.log.process("rules_refused", origin.as_str(), &error.to_string());
                 return UpdateOutcome::Stale;
             }
         };
-        let candidate = RulesInForce { rules, document };
-        let outcome = self.delivering.rules.offer(known.version, requested_at - known.age, candidate);
+        let candidate = ActiveRules { rules, document };
+        let outcome = self.delivering.rules.update(known.version, requested_at - known.age, candidate);
         if outcome == UpdateOutcome::Updated {
             let age = bendhinge_clock::now().since(requested_at - known.age);
             // The log shows the revision of the document, which operators know the rules by.
@@ -201,14 +202,14 @@
         let DeliveryContext { upstreams, log, .. } = &*self.delivering;
         let drained = list.drained.clone();
         let previously_drained = upstreams.list().map(|held| held.drained.clone()).unwrap_or_default();
-        let outcome = upstreams.offer(known.version, requested_at - known.age, list);
+        let outcome = upstreams.update(known.version, requested_at - known.age, list);
         if outcome == UpdateOutcome::Updated && drained != previously_drained {
             log.drained(&drained, origin);
         }
         if outcome == UpdateOutcome::Updated {
             let age = bendhinge_clock::now().since(requested_at - known.age);
             log.belief(Believed::Upstreams, known.version, origin, age);
-            self.delivering.quarantine.set_running_software(upstreams.software());
+            self.delivering.quarantine.set_running_software(upstreams.software_hashes());
             self.spawn_push(origin);
         }
     }
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -12,7 +12,7 @@
 use bendhinge_peer::PeerMessage;
 
 use super::ControlPlane;
-use crate::knowledge::observed_read;
+use crate::state::observed_read;
 
 /// Content of a message to a peer.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -46,9 +46,9 @@
     let mut message = PeerMessage {
         is_brief: matches!(content, MessageContent::Brief | MessageContent::Suspicions { .. }),
         is_probe: content == MessageContent::Probe,
-        rules: control.delivering.rules.known(now),
-        upstreams: control.delivering.upstreams.known(now),
-        is_begun: control.delivering.upstreams.part().is_some(),
+        rules: control.delivering.rules.held_version(now),
+        upstreams: control.delivering.upstreams.held_version(now),
+        is_begun: control.delivering.upstreams.partial_list().is_some(),
         roster: control.roster.borrow().digest(),
         told: Some(LogPosition { incarnation: control.incarnation, sequence: 0 }),
         heard: peer.and_then(|peer| peer.received),
@@ -69,7 +69,7 @@
     if content == MessageContent::Full {
         let known_digest = peer.map_or(0, |peer| peer.summary.quarantine_digest);
         message.suspicions = quarantine.histories_to_sync(known_digest, now);
-        message.doubts = control.delivering.upstreams.doubts_to_tell(receiver, now);
+        message.doubts = control.delivering.upstreams.suspicions_for(receiver, now);
         builder.add_loads(&mut message);
         builder.add_reads(request, &mut message);
     }
@@ -101,9 +101,9 @@
         let holds_same_list = held_digest.is_some()
             && self.peer.is_some_and(|peer| peer.summary.upstream_list_digest == held_digest);
         if holds_same_list {
-            message.list_loads = upstreams.list_loads_to_tell(self.receiver, self.now);
+            message.list_loads = upstreams.list_loads_for(self.receiver, self.now);
         } else {
-            message.loads = upstreams.loads_to_tell(self.now);
+            message.loads = upstreams.recent_loads(self.now);
         }
     }
 
@@ -116,7 +116,7 @@
             }
             None => self.peer.and_then(|peer| peer.acknowledged),
         };
-        let batch = delivering.upstreams.reads_to_tell(self.receiver, acknowledged, self.now);
+        let batch = delivering.upstreams.cache_updates_for(self.receiver, acknowledged, self.now);
         delivering.metrics.reads_not_told(batch.dropped);
         message.reads = batch.entries.into_iter().map(|read| observed_read(read, self.now)).collect();
         message.told = Some(LogPosition { incarnation: *incarnation, sequence: batch.last_sequence });
@@ -136,13 +136,13 @@
     // Reads, loads, suspicions and doubts only guide decisions, so the unknown transit time of an
     // unsolicited message is ignored for them.
     let as_of = requested_at.unwrap_or(now);
-    upstreams.hear_reads(&message.reads, sender_address, as_of);
-    upstreams.hear_loads(&message.loads, sender_address, as_of);
+    upstreams.record_peer_reads(&message.reads, sender_address, as_of);
+    upstreams.record_peer_loads(&message.loads, sender_address, as_of);
     if let (Some(list_loads), Some(known)) = (&message.list_loads, message.upstreams) {
-        upstreams.hear_list_loads(list_loads, known.version, sender_address, as_of);
+        upstreams.apply_list_loads(list_loads, known.version, sender_address, as_of);
     }
     control.delivering.quarantine.merge_reported(&message.suspicions, sender_address, as_of);
-    for upstream in upstreams.hear_doubts(&message.doubts, sender_address, as_of) {
+    for upstream in upstreams.merge_suspicions(&message.doubts, sender_address, as_of) {
         control.delivering.log.upstream_suspected(&upstream.name, sender_address);
         control.delivering.metrics.upstream_suspected();
     }
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -125,7 +125,7 @@
     fn divide_shared_limits(&self) {
         let gateways = self.roster.borrow().known_count();
         self.delivering.retry_budgets.set_router_count(gateways);
-        self.delivering.upstreams.divide_among(gateways);
+        self.delivering.upstreams.set_gateway_count(gateways);
     }
 
     /// Notifies peers that this gateway is shutting down.
@@ -149,7 +149,7 @@
         control.peer_states.borrow_mut().evict_idle(now);
         control.delivering.upstreams.prune();
         control.delivering.quarantine.prune();
-        control.delivering.crash_probes.retain(|upstream| control.delivering.upstreams.lists(upstream));
+        control.delivering.crash_probes.retain(|upstream| control.delivering.upstreams.contains(upstream));
         control.delivering.pacing.prune();
         control.delivering.connection_pool.prune();
     }
--- a/crates/bendhinge_gateway/src/control/pages.rs
+++ b/crates/bendhinge_gateway/src/control/pages.rs
@@ -15,7 +15,7 @@
 
 use super::ControlPlane;
 use crate::dialect::{
-    ForeignEntry, LatestChanges, StoreChanges, StorePage, StorePart, StoredRules, TranslateError,
+    ForeignEntry, LatestChanges, ParseError, StoreChanges, StorePage, StorePart, StoredRules,
 };
 
 /// Maximum size of a page, in bytes.
@@ -33,7 +33,7 @@
     #[error(transparent)]
     Fetch(#[from] FetchError),
     #[error(transparent)]
-    Translate(#[from] TranslateError),
+    Translate(#[from] ParseError),
     #[error("the store returned more than {MAX_PAGES} pages")]
     TooManyPages,
     #[error("the store returned no changes since revision {}", .0.0)]
@@ -110,10 +110,10 @@
     pub(super) async fn read_part(self: &Rc<Self>, part: StorePart) -> Result<ReadOutcome, ReadError> {
         let start = bendhinge_clock::now();
         let page = self.read_page(part, None).await?;
-        if page.next_after.is_none() || !part.has_upstreams() {
+        if page.next_after.is_none() || !part.includes_upstreams() {
             return self.read_remaining_pages(part, page, start).await;
         }
-        if !self.delivering.upstreams.is_known() {
+        if !self.delivering.upstreams.has_list() {
             let mut contents = StoreContents { start, ..StoreContents::default() };
             contents.add_page(page);
             self.start_with_first_page(contents);
@@ -190,7 +190,7 @@
         let dialect = &self.delivering.dialect;
         // The changes may include the rules.
         let body = self.fetch_from_store(&dialect.changes_path(since), LARGE_RULES_TIMEOUT).await?;
-        Ok(dialect.read_changes(&body)?)
+        Ok(dialect.parse_changes(&body)?)
     }
 
     async fn read_page(&self, part: StorePart, after: Option<&str>) -> Result<StorePage, ReadError> {
@@ -199,7 +199,7 @@
         let may_include_large_rules = part == StorePart::Rules || self.awaits_initial_read();
         let timeout = if may_include_large_rules { LARGE_RULES_TIMEOUT } else { self.settings.store.call };
         let body = self.fetch_from_store(&dialect.page_path(part, after), timeout).await?;
-        Ok(dialect.read_page(&body, known_revision)?)
+        Ok(dialect.parse_page(&body, known_revision)?)
     }
 
     async fn fetch_from_store(&self, path: &str, whole: Duration) -> Result<bytes::Bytes, ReadError> {
@@ -207,7 +207,7 @@
         let request = Request::get(path).header("host", store.address.to_string());
         let request = request
             .body(empty_body())
-            .map_err(|error| TranslateError::new("the path of the store request", &error))?;
+            .map_err(|error| ParseError::new("the path of the store request", &error))?;
         let time = FetchTime { silence: store.call, whole };
         let fetched: Fetched =
             fetch(&self.delivering.connection_pool, store.address, request, MAX_PAGE_BYTES, time).await?;
@@ -219,7 +219,7 @@
 
     /// Returns the revision of the held rules document.
     fn held_rules_revision(&self) -> Option<Revision> {
-        let held = self.delivering.rules.known(bendhinge_clock::now())?;
+        let held = self.delivering.rules.held_version(bendhinge_clock::now())?;
         Some(held.version.document())
     }
 
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -97,7 +97,7 @@
             let page = ReadsPage { index, count: PEER_READ_PAGES };
             let reads = self.peers.call(address, async |peer| peer.reads(page).await).await;
             let reads = reads.ok()??;
-            self.delivering.upstreams.recover_reads(&reads);
+            self.delivering.upstreams.restore_reads(&reads);
             parts += reads.len();
         }
         Some(parts)
@@ -106,7 +106,9 @@
     async fn recover_from_upstreams(self: &Rc<Self>) {
         let Some(rules) = self.delivering.rules.current() else { return };
         let caches_prompts = |pool: &_| rules.rules.pools.get(pool).is_some_and(|rule| rule.caches_prompts);
-        for batch in self.delivering.upstreams.keeping(caches_prompts).chunks(MAX_CONCURRENT_QUERIES) {
+        for batch in
+            self.delivering.upstreams.available_in_pools(caches_prompts).chunks(MAX_CONCURRENT_QUERIES)
+        {
             let tasks: Vec<_> = batch.iter().map(|upstream| self.spawn_upstream_recovery(upstream)).collect();
             for task in tasks {
                 task.await;
@@ -120,7 +122,7 @@
         let upstream = Arc::clone(upstream);
         self.executor.spawn(async move {
             let reads = control.query_cached_parts(&upstream).await;
-            control.delivering.upstreams.recover_reads(&reads);
+            control.delivering.upstreams.restore_reads(&reads);
             control.delivering.log.recovered("upstream", upstream.address, reads.len());
         })
     }
@@ -128,15 +130,16 @@
     async fn query_cached_parts(&self, upstream: &UpstreamEntry) -> Vec<ObservedRead> {
         let dialect = &self.delivering.dialect;
         let pool = &self.delivering.connection_pool;
-        let fetched = fetch_path(pool, upstream.address, dialect.kept_path(), UPSTREAM_QUERY_TIMEOUT).await;
+        let fetched =
+            fetch_path(pool, upstream.address, dialect.cached_parts_path(), UPSTREAM_QUERY_TIMEOUT).await;
         let Ok(Fetched { status, headers, body }) = fetched else { return Vec::new() };
         // If another upstream has taken over the address, the expected one is gone and marking it as
         // unavailable does no harm.
-        self.delivering.record_availability(None, upstream, dialect.read_availability(status, &headers));
+        self.delivering.record_availability(None, upstream, dialect.parse_availability(status, &headers));
         if status != StatusCode::OK {
             return Vec::new();
         }
-        let parts = dialect.read_kept(&body).unwrap_or_default();
+        let parts = dialect.parse_cached_parts(&body).unwrap_or_default();
         let large_parts = parts.into_iter().filter(|part| part.tokens >= MIN_PART_TOKENS);
         large_parts
             .map(|part| ObservedRead { part: part.id, upstream: upstream.hash, age: Duration::ZERO })
--- a/crates/bendhinge_gateway/src/control/store.rs
+++ b/crates/bendhinge_gateway/src/control/store.rs
@@ -140,8 +140,8 @@
     /// Returns the revision of the store up to which both list and rules are known.
     fn synced_revision(&self) -> Option<Revision> {
         let now = bendhinge_clock::now();
-        let rules = self.delivering.rules.known(now)?;
-        let upstreams = self.delivering.upstreams.known(now)?;
+        let rules = self.delivering.rules.held_version(now)?;
+        let upstreams = self.delivering.upstreams.held_version(now)?;
         Some(rules.version.revision.min(upstreams.version.revision))
     }
 
@@ -153,7 +153,7 @@
 
     /// Returns how long this gateway waits before it reads all pages of a long list.
     pub(super) fn full_list_delay(&self, now: Instant) -> Duration {
-        let holds_list = self.delivering.upstreams.is_known();
+        let holds_list = self.delivering.upstreams.has_list();
         self.list_reader.schedule.borrow().full_list_delay(self.own_rank(now), holds_list)
     }
 
@@ -183,7 +183,7 @@
     /// Serving needs both, so a gateway that holds neither reads them in one call until a list
     /// arrives, with or without rules, or a combined read times out.
     pub(super) fn awaits_initial_read(&self) -> bool {
-        let is_empty = self.delivering.rules.current().is_none() && !self.delivering.upstreams.is_known();
+        let is_empty = self.delivering.rules.current().is_none() && !self.delivering.upstreams.has_list();
         is_empty && !self.has_combined_read_timed_out.get()
     }
 
@@ -256,7 +256,7 @@
         metrics.foreign_entries(foreign.len());
         let previous = self.foreign_entries.replace(foreign.clone());
         for added in foreign.difference(&previous).take(MAX_LOG_LINES) {
-            log.foreign_entry(&added.key, Some(&added.why));
+            log.foreign_entry(&added.key, Some(&added.reason));
         }
         let is_removed = |removed: &&ForeignEntry| !foreign.iter().any(|entry| entry.key == removed.key);
         for removed in previous.iter().filter(is_removed).take(MAX_LOG_LINES) {
@@ -273,7 +273,7 @@
             // Peers are not notified, since all gateways that start read this page.
             self.update_rules_locally(&current_at_read(version), start, document, Origin::Store);
         }
-        self.delivering.upstreams.begin_with(Arc::new(contents.into_list()));
+        self.delivering.upstreams.apply_partial_list(Arc::new(contents.into_list()));
     }
 
     fn apply_contents(self: &Rc<Self>, part: StorePart, mut contents: StoreContents) {
@@ -281,7 +281,7 @@
         if let Some(rules) = contents.rules.take() {
             self.update_rules_from_store(rules, at, start);
         }
-        if !part.has_upstreams() {
+        if !part.includes_upstreams() {
             return;
         }
         self.update_foreign_entries(&contents.foreign_entries.drain(..).collect());
@@ -294,12 +294,12 @@
         mut drained: Vec<DataCentreName>,
         changes: LatestChanges,
     ) {
-        let LatestChanges { at, rules, came, gone, foreign, keys } = changes;
+        let LatestChanges { at, rules, updated, removed, foreign, keys } = changes;
         drained.sort_unstable();
         drained.dedup();
         let now = bendhinge_clock::now();
         let DeliveryContext { rules: held_rules, upstreams, .. } = &*self.delivering;
-        match (rules, held_rules.known(now)) {
+        match (rules, held_rules.held_version(now)) {
             (Some(rules), _) => self.update_rules_from_store(rules, at, start),
             (None, Some(held)) => {
                 held_rules.confirm(Version { revision: at, ..held.version }, start);
@@ -311,12 +311,12 @@
         all_foreign.retain(|entry| !has_changed(entry));
         all_foreign.extend(foreign);
         self.update_foreign_entries(&all_foreign);
-        let (Some(list), Some(held)) = (upstreams.list(), upstreams.known(now)) else { return };
-        if came.is_empty() && gone.is_empty() && drained == list.drained {
+        let (Some(list), Some(held)) = (upstreams.list(), upstreams.held_version(now)) else { return };
+        if updated.is_empty() && removed.is_empty() && drained == list.drained {
             upstreams.confirm(Version { revision: at, ..held.version }, start);
             return;
         }
-        self.update_list_from_store(list.with_store_changes(came, &gone, drained), at, start);
+        self.update_list_from_store(list.with_store_changes(updated, &removed, drained), at, start);
     }
 
     /// Updates the list to the one at store revision `at`, from a read started at `start`.
@@ -328,7 +328,7 @@
     /// Updates the rules to those at store revision `at`, from a read started at `start`.
     fn update_rules_from_store(self: &Rc<Self>, rules: StoredRules, at: Revision, start: Instant) {
         let version = Version::of_document(rules.revision, at);
-        if self.delivering.rules.lacks(version) {
+        if self.delivering.rules.needs(version) {
             self.update_rules(&current_at_read(version), start, rules.document, Origin::Store);
         } else {
             self.delivering.rules.confirm(version, start);
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -16,8 +16,8 @@
 
 use super::race::SendRecord;
 use super::{DeliveryContext, InboundRequest};
-use crate::dialect::{AnswerFields, AttemptFields, Availability};
-use crate::knowledge::Chosen;
+use crate::dialect::{Availability, ResponseFields, UpstreamRequestFields};
+use crate::state::ChosenUpstream;
 
 /// Maximum idle time of a reused connection for requests that must not run twice. Upstreams may close idle
 /// connections without notice.
@@ -26,7 +26,7 @@
 /// The response of an upstream, after its head has been received.
 pub(super) struct UpstreamResponse {
     pub(super) record: SendRecord,
-    pub(super) chosen: Chosen,
+    pub(super) chosen: ChosenUpstream,
     pub(super) head: response::Parts,
     pub(super) body: UpstreamBody,
 }
@@ -60,7 +60,7 @@
 /// The parameters of an attempt.
 pub(super) struct AttemptParams {
     pub(super) record: SendRecord,
-    pub(super) chosen: Chosen,
+    pub(super) chosen: ChosenUpstream,
     /// The time left until the request's deadline.
     pub(super) timeout: Duration,
     /// The ID of the last event that was received; the upstream resumes the stream after it.
@@ -114,7 +114,7 @@
 fn build_request(
     context: &DeliveryContext,
     inbound: &InboundRequest,
-    chosen: &Chosen,
+    chosen: &ChosenUpstream,
     timeout: Duration,
     resume_after: Option<&str>,
 ) -> Request<Body> {
@@ -122,7 +122,7 @@
     *request.method_mut() = inbound.head.method.clone();
     *request.uri_mut() = inbound.head.uri.clone();
     *request.headers_mut() = inbound.head.headers.clone();
-    let fields = AttemptFields {
+    let fields = UpstreamRequestFields {
         upstream: &chosen.entry,
         time_left: timeout,
         customer: inbound.customer.as_ref().map(|customer| &customer.name),
@@ -130,14 +130,14 @@
         fetch_from: chosen.fetch_from,
         resume_after,
     };
-    context.dialect.write_attempt(request.headers_mut(), &fields);
+    context.dialect.write_request_headers(request.headers_mut(), &fields);
     request
 }
 
 async fn send_with_reconnect(
     context: &DeliveryContext,
     inbound: &InboundRequest,
-    chosen: &Chosen,
+    chosen: &ChosenUpstream,
     request: Request<Body>,
 ) -> Result<(Response<Incoming>, Connection), SendError> {
     let address = chosen.entry.address;
@@ -197,17 +197,17 @@
 async fn receive_response(
     context: &Arc<DeliveryContext>,
     inbound: &InboundRequest,
-    chosen: &Chosen,
+    chosen: &ChosenUpstream,
     response: Response<Incoming>,
     connection: Connection,
 ) -> Result<(response::Parts, UpstreamBody), SendError> {
     let (head, body) = response.into_parts();
-    let fields = context.dialect.read_answer(&head);
+    let fields = context.dialect.parse_response_head(&head);
     if fields.id != inbound.fields.id {
         // The response belongs to an earlier request, so the connection can no longer be trusted.
         return Err(SendEnd::Spoilt.into());
     }
-    if !fields.is_another {
+    if !fields.is_misdirected {
         context.record_reported_state(inbound, &chosen.entry, &fields);
     }
     if let Some(end) = reported_not_run(&fields) {
@@ -215,7 +215,7 @@
         return Err(end.into());
     }
     let is_success = head.status.is_success();
-    if is_success && !fields.is_stamped {
+    if is_success && !fields.is_signed {
         return Err(SendEnd::Spoilt.into());
     }
     if is_success && inbound.route.kind.is_stream() && is_event_stream(&head.headers) {
@@ -236,11 +236,11 @@
 }
 
 /// Returns the result of an attempt that the upstream explicitly reports as not run.
-const fn reported_not_run(fields: &AnswerFields) -> Option<SendEnd> {
-    if fields.is_another {
+const fn reported_not_run(fields: &ResponseFields) -> Option<SendEnd> {
+    if fields.is_misdirected {
         return Some(SendEnd::Replaced);
     }
-    if fields.not_run { Some(SendEnd::Rejected) } else { None }
+    if fields.not_executed { Some(SendEnd::Rejected) } else { None }
 }
 
 /// Whether the status implies that the request did not run. Such a status is not relayed if the upstream does
@@ -308,10 +308,10 @@
         &self,
         inbound: &InboundRequest,
         upstream: &UpstreamEntry,
-        fields: &AnswerFields,
+        fields: &ResponseFields,
     ) {
         if let Some(load) = fields.load {
-            self.upstreams.load_said(upstream.hash, load);
+            self.upstreams.record_load(upstream.hash, load);
         }
         let request_id = inbound.fields.id.as_ref().and_then(|id| id.to_str().ok());
         self.record_availability(request_id, upstream, fields.availability);
@@ -325,12 +325,12 @@
         upstream: &UpstreamEntry,
         availability: Availability,
     ) {
-        if let Some(requested_backoff) = availability.rest {
-            let effective_backoff = self.upstreams.asked_to_rest(upstream.hash, requested_backoff);
+        if let Some(requested_backoff) = availability.backoff {
+            let effective_backoff = self.upstreams.record_backoff(upstream.hash, requested_backoff);
             self.metrics.rest_asked();
             self.log.rest_asked(request_id, &upstream.name, requested_backoff, effective_backoff);
         }
-        if availability.is_leaving && self.upstreams.leaves(upstream.hash) {
+        if availability.is_leaving && self.upstreams.record_leaving(upstream.hash) {
             self.metrics.leaving_said();
             self.log.leaving_said(request_id, &upstream.name);
         }
@@ -338,14 +338,14 @@
 
     /// Whether the request may still be sent. Since the upstream was chosen, the deadline may have passed,
     /// the rules or the upstream list may have changed or expired, or the request may have been quarantined.
-    fn may_be_sent(&self, inbound: &InboundRequest, chosen: &Chosen) -> bool {
+    fn may_be_sent(&self, inbound: &InboundRequest, chosen: &ChosenUpstream) -> bool {
         let is_before_deadline = bendhinge_clock::now() < inbound.deadline;
         let is_quarantined =
             || self.tracked_digest(inbound).is_some_and(|digest| self.quarantine.is_quarantined(digest));
         is_before_deadline
             && !is_quarantined()
             && inbound.is_authorized(&self.rules)
-            && self.upstreams.may_be_sent_to(chosen.entry.hash)
+            && self.upstreams.is_available(chosen.entry.hash)
     }
 }
 
--- a/crates/bendhinge_gateway/src/delivery/crash.rs
+++ b/crates/bendhinge_gateway/src/delivery/crash.rs
@@ -74,7 +74,7 @@
 }
 
 async fn has_crashed(context: &DeliveryContext, upstream: &UpstreamEntry, lost_at: Instant) -> bool {
-    if !context.upstreams.takes_work(upstream.hash) {
+    if !context.upstreams.accepts_work(upstream.hash) {
         // An upstream that is leaving closes its connections when it exits.
         return false;
     }
@@ -87,7 +87,8 @@
 /// a busy upstream may have none left. An unreachable box does not answer, which is not a crash.
 async fn refuses_connections(context: &DeliveryContext, upstream: &UpstreamEntry) -> bool {
     Timer::after(SOCKET_CLOSE_TIME).await;
-    if context.upstreams.has_own(upstream.hash) || context.connection_pool.has_idle(upstream.address) {
+    if context.upstreams.has_own_requests(upstream.hash) || context.connection_pool.has_idle(upstream.address)
+    {
         return false;
     }
     match context.connection_pool.connect(upstream.address).await {
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -29,21 +29,21 @@
 use self::crash::detect_crash;
 use self::race::{FailedSend, PendingSend, SendRecord, race};
 use self::relay::{Relay, StreamSource, relay_body};
-use crate::dialect::{CallFields, Dialect};
+use crate::dialect::{Dialect, RequestFields};
 use crate::intake::Refusal;
 use crate::intake::headers;
-use crate::knowledge::{Chosen, PlacementQuestion, RulesKeeper, UpstreamView};
 use crate::lifecycle::InProgress;
 use crate::log::{Log, RequestLine};
 use crate::metrics::Metrics;
 use crate::pacing::Pacing;
 use crate::quarantine::{SendRefusal, SharedQuarantine, TrackedSend};
 use crate::retries::RetryBudgets;
+use crate::state::{ChosenUpstream, PlacementRequest, RulesReplica, UpstreamView};
 
 /// The shared state that delivery uses.
 pub(crate) struct DeliveryContext {
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) rules: Arc<RulesKeeper>,
+    pub(crate) rules: Arc<RulesReplica>,
     pub(crate) upstreams: Arc<UpstreamView>,
     pub(crate) retry_budgets: RetryBudgets,
     pub(crate) pacing: Pacing,
@@ -59,7 +59,7 @@
 
 /// A request that was authorized and is to be sent to an upstream.
 pub(crate) struct InboundRequest {
-    pub(crate) fields: CallFields,
+    pub(crate) fields: RequestFields,
     pub(crate) route: Arc<Route>,
     pub(crate) pool: PoolName,
     pub(crate) customer: Option<Arc<Customer>>,
@@ -91,7 +91,7 @@
         /// refused together do not all return to the first upstream that is available again.
         const JITTER_FRACTION: f64 = 0.25;
         const MIN_JITTER: Duration = Duration::from_millis(200);
-        let end = self.upstreams.first_rest_end(&inbound.pool, inbound.allowed_regions())?;
+        let end = self.upstreams.earliest_backoff_end(&inbound.pool, inbound.allowed_regions())?;
         let remaining = end.since(bendhinge_clock::now());
         Some(remaining + remaining.mul_f64(JITTER_FRACTION).max(MIN_JITTER).mul_f64(rand::rng().random()))
     }
@@ -111,9 +111,9 @@
     }
 
     /// Whether the customer still holds the key of the request, according to rules that have not expired.
-    pub(crate) fn is_authorized(&self, rules: &RulesKeeper) -> bool {
+    pub(crate) fn is_authorized(&self, rules: &RulesReplica) -> bool {
         let (Some(key), Some(customer)) = (&self.fields.key, &self.customer) else { return true };
-        if !rules.may_be_acted_on() {
+        if !rules.is_within_lease() {
             return false;
         }
         let Some(current) = rules.current() else { return false };
@@ -196,7 +196,7 @@
         Err(DeliveryError::Code(code)) => {
             delivery.log_line.ended(&context.log, code.http_status(), Some(code), &delivery.course);
             // Right after the start, the first upstream list is expected within moments.
-            let awaits_next_list = code == ResultCode::NoUpstream && context.upstreams.is_known();
+            let awaits_next_list = code == ResultCode::NoUpstream && context.upstreams.has_list();
             let retry_after = awaits_next_list.then(delay_until_next_list);
             Err(Refusal { code, was_sent: true, retry_after, digest: None })
         }
@@ -241,7 +241,7 @@
             let send = self.start_send(resume_after, self.course.has_spare_run())?;
             match self.await_response(send, resume_after).await {
                 Ok(response) => {
-                    self.context.upstreams.answered(response.chosen.entry.hash);
+                    self.context.upstreams.record_response(response.chosen.entry.hash);
                     self.record_response();
                     self.context.metrics.first_byte(bendhinge_clock::now().since(self.inbound.received_at));
                     return Ok(response);
@@ -335,18 +335,18 @@
         }
     }
 
-    fn choose_upstream(&self, may_probe: bool) -> Result<Chosen, DeliveryError> {
+    fn choose_upstream(&self, may_probe: bool) -> Result<ChosenUpstream, DeliveryError> {
         if !self.inbound.is_authorized(&self.context.rules) {
             return Err(DeliveryError::Code(self.code_if_not_run(ResultCode::ViewNotFresh)));
         }
         let rules = self.context.rules.current();
-        let query = PlacementQuestion {
+        let query = PlacementRequest {
             pool: &self.inbound.pool,
             rule: rules.as_ref().and_then(|current| current.rules.pools.get(&self.inbound.pool)),
             prompt: self.inbound.fields.prompt.as_ref(),
             regions: self.inbound.allowed_regions(),
             tried: &self.tried_upstreams,
-            may_try: may_probe,
+            may_probe,
             tie_breaker: self.inbound.tie_breaker,
         };
         self.context.upstreams.choose(&query).ok_or_else(|| self.no_upstream_error())
@@ -382,7 +382,7 @@
         metrics.send_ended(end);
         match end {
             SendEnd::Rejected if self.is_paced => {
-                let upstream_count = upstreams.working_in(&self.inbound.pool);
+                let upstream_count = upstreams.count_accepting_work(&self.inbound.pool);
                 self.context.pacing.record_rejection(&self.inbound.pool, upstream.hash, upstream_count);
             }
             SendEnd::Failed => {
@@ -395,7 +395,8 @@
             }
             _ => {}
         }
-        if upstream_failure(end).is_some_and(|failure| upstreams.failed(upstream.hash, failure, *started_at))
+        if upstream_failure(end)
+            .is_some_and(|failure| upstreams.record_failure(upstream.hash, failure, *started_at))
         {
             log.upstream_rests(&upstream.name, end);
         }
--- a/crates/bendhinge_gateway/src/delivery/race.rs
+++ b/crates/bendhinge_gateway/src/delivery/race.rs
@@ -11,8 +11,8 @@
 use smol::Timer;
 
 use super::attempt::{SendError, UpstreamResponse};
-use crate::knowledge::Chosen;
 use crate::quarantine::TrackedSend;
+use crate::state::ChosenUpstream;
 
 type ResponseFuture = Pin<Box<dyn Future<Output = Result<UpstreamResponse, SendError>> + Send>>;
 
@@ -29,8 +29,8 @@
 }
 
 impl SendRecord {
-    pub(super) fn new(number: usize, chosen: &Chosen, tracked: Option<Arc<TrackedSend>>) -> Self {
-        Self { number, upstream: Arc::clone(&chosen.entry), started_at: chosen.at, _tracked: tracked }
+    pub(super) fn new(number: usize, chosen: &ChosenUpstream, tracked: Option<Arc<TrackedSend>>) -> Self {
+        Self { number, upstream: Arc::clone(&chosen.entry), started_at: chosen.chosen_at, _tracked: tracked }
     }
 }
 
--- a/crates/bendhinge_gateway/src/delivery/relay.rs
+++ b/crates/bendhinge_gateway/src/delivery/relay.rs
@@ -20,8 +20,8 @@
 use super::Delivery;
 use super::attempt::{UpstreamBody, UpstreamResponse};
 use super::race::SendRecord;
-use crate::knowledge::Chosen;
 use crate::lifecycle::InProgress;
+use crate::state::ChosenUpstream;
 
 /// Number of target gaps between events after which a silent stream is resumed at another upstream.
 const MAX_SILENT_GAPS: u32 = 3;
@@ -40,7 +40,7 @@
 pub(super) struct StreamSource {
     pub(super) record: SendRecord,
     /// Counts the request towards the upstream's load until dropped.
-    pub(super) _chosen: Chosen,
+    pub(super) _chosen: ChosenUpstream,
     pub(super) headers: HeaderMap,
     pub(super) body: Incoming,
     pub(super) connection: Connection,
--- a/crates/bendhinge_gateway/src/intake/mod.rs
+++ b/crates/bendhinge_gateway/src/intake/mod.rs
@@ -20,9 +20,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::delivery::{DeliveryContext, InboundRequest, deliver};
-use crate::dialect::{CallFields, RefusalFields};
-use crate::knowledge::RulesInForce;
+use crate::dialect::{ErrorResponseFields, RequestFields};
 use crate::lifecycle::Lifecycle;
+use crate::state::ActiveRules;
 
 /// A request that is answered by the router itself, with what the caller is told.
 #[derive(Clone, Copy, Debug)]
@@ -68,7 +68,7 @@
     // The HTTP library drops a `Content-Length` that precedes `Transfer-Encoding`. To prevent request
     // smuggling, the connection is closed after such a request (RFC 9112, section 6.1).
     let ends_connection = head.headers.contains_key(TRANSFER_ENCODING);
-    let fields = intake.context.dialect.read_call(&head);
+    let fields = intake.context.dialect.parse_request(&head);
     let id = fields.as_ref().ok().and_then(|fields| fields.id.clone());
     let result = match fields {
         Ok(fields) => intake.serve(head, body, fields, received_at).await,
@@ -98,7 +98,7 @@
         &self,
         mut head: request::Parts,
         body: Incoming,
-        fields: CallFields,
+        fields: RequestFields,
         received_at: Instant,
     ) -> Result<Response<Body>, Refusal> {
         validate_head(&head)?;
@@ -106,17 +106,17 @@
             return Err(ResultCode::RouterStopping.into());
         }
         let tie_breaker = rand::rng().random();
-        let current = self.context.rules.current_or_first(fields.deadline).await;
+        let current = self.context.rules.current_or_wait(fields.timeout).await;
         let current = current.ok_or(ResultCode::NoConfiguration)?;
         let authorization = authorize(&current, &head, &fields)?;
-        if authorization.customer.is_some() && !self.context.rules.may_be_acted_on() {
+        if authorization.customer.is_some() && !self.context.rules.is_within_lease() {
             return Err(ResultCode::ViewNotFresh.into());
         }
         drop(current);
         let in_progress = self.lifecycle.begin();
         let deadline = received_at
             + fields
-                .deadline
+                .timeout
                 .map_or(authorization.route.timeout, |time_left| time_left.min(authorization.route.timeout));
         let body = read_request_body(body, &authorization.limits, deadline).await?;
         headers::prepare_for_upstream(&mut head.headers);
@@ -151,8 +151,9 @@
         *response.status_mut() =
             StatusCode::from_u16(code.http_status()).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-        let body =
-            context.dialect.write_refusal(response.headers_mut(), &RefusalFields { id, code, retry_after });
+        let body = context
+            .dialect
+            .write_error_response(response.headers_mut(), &ErrorResponseFields { id, code, retry_after });
         *response.body_mut() = full_body(body);
         response
     }
@@ -164,9 +165,9 @@
 }
 
 fn authorize(
-    current: &RulesInForce,
+    current: &ActiveRules,
     head: &request::Parts,
-    fields: &CallFields,
+    fields: &RequestFields,
 ) -> Result<Authorization, Refusal> {
     let host = head.headers.get(HOST).and_then(|host| host.to_str().ok()).unwrap_or_default();
     let rules = &current.rules;
@@ -178,9 +179,9 @@
 
 /// Returns the customer of a request. An unknown key is refused even if the route allows anonymous requests.
 fn authenticate(
-    current: &RulesInForce,
+    current: &ActiveRules,
     route: &Route,
-    fields: &CallFields,
+    fields: &RequestFields,
 ) -> Result<Option<Arc<Customer>>, Refusal> {
     let customers = &current.rules.customers;
     match &fields.key {
@@ -194,7 +195,7 @@
 }
 
 /// Returns a number in `[0, 1)` for the traffic split, which is equal for equal request IDs on all routers.
-fn split_point(fields: &CallFields) -> f64 {
+fn split_point(fields: &RequestFields) -> f64 {
     match &fields.id {
         Some(id) => hash_to_fraction(xxh3_64(id.as_bytes())),
         None => rand::rng().random(),
--- a/crates/bendhinge_gateway/src/quarantine.rs
+++ b/crates/bendhinge_gateway/src/quarantine.rs
@@ -12,8 +12,8 @@
 use serde_json::json;
 use smol::channel::{Receiver, Sender, bounded};
 
-use crate::knowledge::{learned_from, router_hash};
 use crate::log::Log;
+use crate::state::{address_hash, update_source};
 
 /// Maximum number of queued change notifications. When the queue is full, further changes are sent together
 /// with the queued ones.
@@ -90,7 +90,7 @@
     /// peers reach this router.
     pub(crate) fn new(local_address: SocketAddr, log: Log) -> (Self, Receiver<QuarantineChange>) {
         let (changes, receiver) = bounded(MAX_QUEUED_CHANGES);
-        (Self { state: Mutex::new(Quarantine::new(router_hash(local_address))), changes, log }, receiver)
+        (Self { state: Mutex::new(Quarantine::new(address_hash(local_address))), changes, log }, receiver)
     }
 
     /// Whether a request with this hint may be tracked.
@@ -187,7 +187,7 @@
         for reported in histories {
             let mut state = self.state.lock().unwrap();
             let previous_crashes = state.crash_count(reported.request);
-            let is_changed = state.merge(reported.request, &reported.as_of(as_of), learned_from(from), now);
+            let is_changed = state.merge(reported.request, &reported.as_of(as_of), update_source(from), now);
             let crashes = state.crash_count(reported.request);
             drop(state);
             if is_changed {
@@ -204,7 +204,7 @@
 
     /// Whether there are changes to send to the router at `recipient`, see [`SharedQuarantine::changes_for`].
     pub(crate) fn has_changes_for(&self, recipient: SocketAddr, since: Instant, forwards: bool) -> bool {
-        self.state.lock().unwrap().changes_for(learned_from(recipient), since, forwards).next().is_some()
+        self.state.lock().unwrap().changes_for(update_source(recipient), since, forwards).next().is_some()
     }
 
     /// Returns the changes after `since` to send to the router at `recipient`, including those received from
@@ -217,7 +217,7 @@
         now: Instant,
     ) -> Vec<ObservedSuspicion> {
         let state = self.state.lock().unwrap();
-        let histories = state.changes_for(learned_from(recipient), since, forwards);
+        let histories = state.changes_for(update_source(recipient), since, forwards);
         histories.map(|(request, history)| ObservedSuspicion::of(request, history, now)).collect()
     }
 
--- a/crates/bendhinge_gateway/src/ready.rs
+++ b/crates/bendhinge_gateway/src/ready.rs
@@ -35,7 +35,7 @@
         let lease = self.lease.map_or(Duration::MAX, |lease| lease + LEASE_GRACE_PERIOD);
         !self.lifecycle.is_stopping()
             && age.is_some_and(|age| age <= lease)
-            && self.context.upstreams.is_begun()
+            && self.context.upstreams.has_list_or_partial()
     }
 
     fn measured_now(&self) -> MeasuredNow {
@@ -45,7 +45,7 @@
             peer_connections: self.traffic.open_connections(),
             peer_sent_bytes: self.traffic.sent_bytes(),
             quarantined: self.context.quarantine.quarantined_count(),
-            upstreams_resting: self.context.upstreams.resting(),
+            upstreams_resting: self.context.upstreams.backoff_count(),
         }
     }
 
