--- a/crates/bendhinge_gateway/src/args.rs
+++ b/crates/bendhinge_gateway/src/args.rs
@@ -1,4 +1,4 @@
-//! A gateway's command line.
+//! Command-line arguments of the gateway.
 
 use std::path::PathBuf;
 
@@ -6,16 +6,16 @@
 
 /// A gateway of the bendhinge fleet.
 ///
-/// Serves until SIGTERM, finishes what is in progress and exits with 0. SIGHUP has it read its
-/// settings again. Exits with 1 if the settings have faults and 2 if it cannot be started.
+/// Serves until SIGTERM, finishes the requests in progress and exits with 0. Reloads its settings on
+/// SIGHUP. Exits with 1 if the settings are invalid and with 2 if the gateway cannot be started.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub(crate) struct Args {
-    /// Only check the settings: print every fault and exit
+    /// Only check the settings: print all errors and exit
     pub(crate) check: bool,
     /// Print the reference of the settings and exit
     pub(crate) reference: bool,
-    /// The settings, an INI file
+    /// The settings file, in INI format
     #[bpaf(positional("SETTINGS"), optional)]
     pub(crate) settings: Option<PathBuf>,
 }
--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -56,7 +56,7 @@
 fn period(control: &Control) -> Duration {
     /// The period before there is what serving takes: callers wait for it, or are turned away.
     const SEEKING: Duration = Duration::from_millis(100);
-    let usual = control.settings.fleet.exchange;
+    let usual = control.settings.fleet.exchange_interval;
     let period = if is_seeking(control) { usual.min(SEEKING) } else { usual };
     period.mul_f64(rand::rng().random_range(0.8..1.2))
 }
@@ -155,7 +155,7 @@
     let asked = bendhinge_clock::now();
     let message = own_message(control, address, content, None, asked);
     let answer = control.peers.call(address, async |peer| peer.exchange(&message).await).await;
-    control.delivering.metrics.exchange(answer.is_ok());
+    control.delivering.metrics.count_exchange(answer.is_ok());
     let Ok(answer) = answer else { return false };
     take_in(control, &answer, Some(asked));
     control.divide();
--- a/crates/bendhinge_gateway/src/control/fetching.rs
+++ b/crates/bendhinge_gateway/src/control/fetching.rs
@@ -19,7 +19,7 @@
 use super::Control;
 use crate::delivery::Delivering;
 use crate::knowledge::RulesInForce;
-use crate::metrics::Believed;
+use crate::metrics::ReplicaKind;
 
 /// What is on its way of one thing.
 #[derive(Default)]
@@ -91,7 +91,7 @@
     async fn fetch_part(&self, address: SocketAddr) {
         let asked = bendhinge_clock::now();
         let fetched = self.peers.call(address, async |peer| peer.list_part().await).await;
-        let part = self.note_fetch(Believed::Upstreams, address, asked, fetched.map(Some));
+        let part = self.note_fetch(ReplicaKind::Upstreams, address, asked, fetched.map(Some));
         if let Some(part) = part {
             self.delivering.upstreams.begin_with(Arc::new(part));
         }
@@ -100,7 +100,7 @@
     async fn fetch_rules(self: &Rc<Self>, address: SocketAddr) {
         let asked = bendhinge_clock::now();
         let fetched = self.peers.call(address, async |peer| peer.rules().await).await;
-        if let Some((known, document)) = self.note_fetch(Believed::Rules, address, asked, fetched) {
+        if let Some((known, document)) = self.note_fetch(ReplicaKind::Rules, address, asked, fetched) {
             self.take_rules(&known, asked, document, Origin::Peer);
         }
     }
@@ -117,7 +117,7 @@
     async fn fetch_list(self: &Rc<Self>, address: SocketAddr, base: Option<u64>) -> bool {
         let asked = bendhinge_clock::now();
         let fetched = self.peers.call(address, async |peer| peer.upstreams(base).await).await;
-        let fetched = self.note_fetch(Believed::Upstreams, address, asked, fetched);
+        let fetched = self.note_fetch(ReplicaKind::Upstreams, address, asked, fetched);
         let Some((known, told)) = fetched else { return true };
         let list = match told {
             ListUpdate::Full(list) => Some(list),
@@ -134,15 +134,15 @@
     /// Notes what came of asking the gateway at `from` for `what`; gives what it handed over.
     fn note_fetch<T>(
         &self,
-        what: Believed,
+        what: ReplicaKind,
         from: SocketAddr,
         asked: Instant,
         fetched: Result<Option<T>, CallError>,
     ) -> Option<T> {
         let took = bendhinge_clock::now().since(asked);
         let Delivering { metrics, log, .. } = &*self.delivering;
-        metrics.peer_fetch(what, took, fetched.is_ok());
-        fetched.inspect_err(|error| log.fetch_failed(what, from, took, error)).ok().flatten()
+        metrics.record_peer_fetch(what, took, fetched.is_ok());
+        fetched.inspect_err(|error| log.peer_fetch_failed(what, from, took, error)).ok().flatten()
     }
 
     /// Takes a document of rules that was known to be current `known.age` before `asked`.
@@ -163,7 +163,7 @@
         let rules = match self.delivering.dialect.read_rules(&document) {
             Ok(rules) => rules,
             Err(error) => {
-                self.delivering.log.process("rules_refused", from.as_str(), &error.to_string());
+                self.delivering.log.process_event("rules_refused", from.as_str(), &error.to_string());
                 return UpdateOutcome::Stale;
             }
         };
@@ -173,7 +173,7 @@
             let age = bendhinge_clock::now().since(asked - known.age);
             // Operators know the rules by the revision of the document.
             let shown = Version { revision: known.version.document(), ..known.version };
-            self.delivering.log.belief(Believed::Rules, shown, from, age);
+            self.delivering.log.replica_updated(ReplicaKind::Rules, shown, from, age);
         }
         offer
     }
@@ -191,11 +191,11 @@
         let were_drained = upstreams.list().map(|held| held.drained.clone()).unwrap_or_default();
         let offer = upstreams.offer(known.version, asked - known.age, list);
         if offer == UpdateOutcome::Updated && drained != were_drained {
-            log.drained(&drained, from);
+            log.drained_data_centres_changed(&drained, from);
         }
         if offer == UpdateOutcome::Updated {
             let age = bendhinge_clock::now().since(asked - known.age);
-            log.belief(Believed::Upstreams, known.version, from, age);
+            log.replica_updated(ReplicaKind::Upstreams, known.version, from, age);
             self.delivering.quarantine.follow_software(upstreams.software());
             self.spread(from);
         }
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -72,7 +72,7 @@
         telling.loads(&mut message);
         telling.reads(question, &mut message);
     }
-    control.delivering.metrics.told(&message);
+    control.delivering.metrics.count_sent_entries(&message);
     message
 }
 
@@ -116,7 +116,7 @@
             None => self.peer.and_then(|peer| peer.acknowledged),
         };
         let news = delivering.upstreams.reads_to_tell(self.listener, told, self.now);
-        delivering.metrics.reads_not_told(news.dropped);
+        delivering.metrics.count_dropped_reads(news.dropped);
         message.reads = news.entries.into_iter().map(|kept| observed_read(kept, self.now)).collect();
         message.told = Some(LogPosition { incarnation: *life, sequence: news.last_sequence });
     }
@@ -141,7 +141,7 @@
     control.delivering.quarantine.hear(&message.suspicions, from, as_of);
     for upstream in upstreams.hear_doubts(&message.doubts, from, as_of) {
         control.delivering.log.upstream_suspected(&upstream.name, from);
-        control.delivering.metrics.upstream_suspected();
+        control.delivering.metrics.count_suspected_upstream();
     }
     let Some(asked) = asked else { return };
     if let Some(known) = message.rules {
@@ -177,7 +177,7 @@
     /// What this gateway tells of itself.
     fn sender(&self) -> MemberReport {
         MemberReport {
-            address: self.settings.peers,
+            address: self.settings.peer_address,
             age: Duration::ZERO,
             is_leaving: self.lifecycle.is_stopping(),
             is_store_failing: self.is_store_failing(),
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -69,14 +69,18 @@
         traffic: Arc<Traffic>,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
-        let roster =
-            Roster::new(settings.peers, settings.link.mbps(), &settings.fleet.seeds, settings.fleet.roster);
-        let limits = PeerPoolLimits { call: settings.fleet.call, pause: PAUSE_AFTER_FAILURE };
-        let peers = PeerPool::new(settings.fleet.key.clone(), limits, traffic, Rc::clone(executor));
+        let roster = Roster::new(
+            settings.peer_address,
+            settings.link.mbps(),
+            &settings.fleet.seeds,
+            settings.fleet.roster_timeouts,
+        );
+        let limits = PeerPoolLimits { call: settings.fleet.call_timeout, pause: PAUSE_AFTER_FAILURE };
+        let peers = PeerPool::new(settings.fleet.shared_key.clone(), limits, traffic, Rc::clone(executor));
         Rc::new(Self {
             roster: RefCell::new(roster),
-            upstreams_reading: Reading::new("store", settings.list_reading()),
-            rules_reading: Reading::new("store_rules", settings.store.reading),
+            upstreams_reading: Reading::new("store", settings.list_read_timings()),
+            rules_reading: Reading::new("store_rules", settings.store.read_timings),
             foreign: RefCell::default(),
             is_read_along_slow: Cell::new(false),
             lost_track: Cell::new(false),
@@ -98,7 +102,7 @@
     pub(crate) fn start(self: &Rc<Self>, listener: TcpListener, suspicions: Receiver<SuspicionChange>) {
         let serving = serve_fleet(
             listener,
-            self.settings.fleet.key.clone(),
+            self.settings.fleet.shared_key.clone(),
             Rc::new(Duties(Rc::clone(self))),
             Arc::clone(self.peers.traffic()),
             Rc::clone(&self.executor),
@@ -115,7 +119,7 @@
     /// Takes settings that were read anew.
     pub(crate) fn follow(&self, settings: &Settings) {
         self.roster.borrow_mut().set_seeds(&settings.fleet.seeds);
-        self.delivering.quarantine.release(&settings.released);
+        self.delivering.quarantine.release(&settings.released_requests);
     }
 
     /// Takes this gateway's part of what all share, by how many are known.
--- a/crates/bendhinge_gateway/src/control/pages.rs
+++ b/crates/bendhinge_gateway/src/control/pages.rs
@@ -192,7 +192,7 @@
         let known = self.known_document();
         let dialect = &self.delivering.dialect;
         let may_be_large = part == StorePart::Rules || self.knows_nothing();
-        let whole = if may_be_large { RULES_TIME } else { self.settings.store.call };
+        let whole = if may_be_large { RULES_TIME } else { self.settings.store.call_timeout };
         let body = self.fetch_from_store(&dialect.page_path(part, after), whole).await?;
         Ok(dialect.read_page(&body, known)?)
     }
@@ -201,7 +201,7 @@
         let store = &self.settings.store;
         let request = Request::get(path).header("host", store.address.to_string());
         let request = request.body(empty_body()).map_err(|error| TranslateError::new("the path", &error))?;
-        let time = FetchTime { silence: store.call, whole };
+        let time = FetchTime { silence: store.call_timeout, whole };
         let fetched: Fetched =
             fetch(&self.delivering.pool, store.address, request, LARGEST_PAGE, time).await?;
         if fetched.status != StatusCode::OK {
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -83,7 +83,7 @@
         );
         for contact in contacts {
             if let Some(parts) = self.learn_from_peer(contact.address()).await {
-                self.delivering.log.recovered("peer", contact.address(), parts);
+                self.delivering.log.cached_parts_recovered("peer", contact.address(), parts);
                 return true;
             }
         }
@@ -122,7 +122,7 @@
         self.executor.spawn(async move {
             let reads = control.listed_by(&upstream).await;
             control.delivering.upstreams.recover_reads(&reads);
-            control.delivering.log.recovered("upstream", upstream.address, reads.len());
+            control.delivering.log.cached_parts_recovered("upstream", upstream.address, reads.len());
         })
     }
 
--- a/crates/bendhinge_gateway/src/control/store.rs
+++ b/crates/bendhinge_gateway/src/control/store.rs
@@ -89,7 +89,7 @@
             None => self.read_whole(part).await,
         };
         let now = bendhinge_clock::now();
-        self.delivering.metrics.store_read(now.since(began), found.is_ok());
+        self.delivering.metrics.record_store_read(now.since(began), found.is_ok());
         match found {
             Ok(found) => {
                 reading.plan.borrow_mut().record_success(now);
@@ -186,7 +186,7 @@
             return Duration::ZERO;
         }
         let length = self.delivering.rules.current().map_or(0, |current| current.document.len());
-        self.settings.link.time_for(length as f64 * ENCODED)
+        self.settings.link.transfer_time(length as f64 * ENCODED)
     }
 
     /// How long until this gateway should read the list of upstreams.
@@ -227,7 +227,7 @@
 
     fn note_store(&self, reading: &Reading, answers: bool, detail: &str) {
         if reading.answers.replace(Some(answers)) != Some(answers) {
-            self.delivering.log.dependency(reading.dependency, answers, detail);
+            self.delivering.log.dependency_changed(reading.dependency, answers, detail);
         }
     }
 
@@ -236,14 +236,14 @@
         /// Lines for one read, whatever was written there.
         const MOST_LINES: usize = 16;
         let Delivering { log, metrics, .. } = &*self.delivering;
-        metrics.foreign_entries(foreign.len());
+        metrics.record_foreign_entries(foreign.len());
         let before = self.foreign.replace(foreign.clone());
         for came in foreign.difference(&before).take(MOST_LINES) {
-            log.foreign_entry(&came.key, Some(&came.why));
+            log.foreign_entry_changed(&came.key, Some(&came.why));
         }
         let is_gone = |gone: &&ForeignEntry| !foreign.iter().any(|entry| entry.key == gone.key);
         for gone in before.iter().filter(is_gone).take(MOST_LINES) {
-            log.foreign_entry(&gone.key, None);
+            log.foreign_entry_changed(&gone.key, None);
         }
     }
 
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -320,12 +320,12 @@
     ) {
         if let Some(rest) = said.rest {
             let spared = self.upstreams.asked_to_rest(upstream.hash, rest);
-            self.metrics.rest_asked();
-            self.log.rest_asked(request, &upstream.name, rest, spared);
+            self.metrics.count_backoff_request();
+            self.log.backoff_requested(request, &upstream.name, rest, spared);
         }
         if said.is_leaving && self.upstreams.leaves(upstream.hash) {
-            self.metrics.leaving_said();
-            self.log.leaving_said(request, &upstream.name);
+            self.metrics.count_drain_announcement();
+            self.log.drain_announced(request, &upstream.name);
         }
     }
 
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -30,7 +30,7 @@
 use crate::intake::headers;
 use crate::knowledge::{Chosen, PlacementQuestion, RulesKeeper, UpstreamView};
 use crate::lifecycle::InProgress;
-use crate::log::{Log, RequestLine};
+use crate::log::{Log, RequestLogEntry};
 use crate::metrics::Metrics;
 use crate::pacing::Pacing;
 use crate::quarantine::{Kept, QuarantineKeeper, WatchedSend};
@@ -159,12 +159,12 @@
     if is_paced && let PacingDecision::Refused(after) = delivering.pacing.decide(&turn.pool, turn.asker()) {
         return Err(Refused::until(ResultCode::AllUpstreamsAtBound, after));
     }
-    delivering.metrics.request();
+    delivering.metrics.count_request();
     let course = Course::new(bendhinge_delivery::CourseRules {
         repeatable: turn.route.kind.is_retryable(),
         attempts: turn.route.max_attempts,
     });
-    let line = RequestLine::new(&turn);
+    let line = RequestLogEntry::new(&turn);
     let turn = Arc::new(turn);
     let mut delivery =
         Delivery { delivering: Arc::clone(delivering), turn, course, is_paced, tried: Vec::new(), line };
@@ -173,11 +173,11 @@
         Ok(attempt) => Ok(delivery.pass_back(attempt, in_progress)),
         Err(GivenUp::Failure(failure)) => Ok(delivery.pass_failure(*failure)),
         Err(GivenUp::NotNow { code, retry_after }) => {
-            delivery.line.ended(&delivering.log, code.http_status(), Some(code), &delivery.course);
+            delivery.line.write_answered(&delivering.log, code.http_status(), Some(code), &delivery.course);
             Err(Refused { was_sent: true, ..Refused::until(code, retry_after) })
         }
         Err(GivenUp::Code(code)) => {
-            delivery.line.ended(&delivering.log, code.http_status(), Some(code), &delivery.course);
+            delivery.line.write_answered(&delivering.log, code.http_status(), Some(code), &delivery.course);
             // Right after the start the first list is a moment away.
             let needs_another_list = code == ResultCode::NoUpstream && delivering.upstreams.is_known();
             let retry_after = needs_another_list.then(with_the_next_list);
@@ -213,7 +213,7 @@
     /// Whether requests to its pool are paced.
     is_paced: bool,
     tried: Vec<NameHash>,
-    line: RequestLine,
+    line: RequestLogEntry,
 }
 
 impl Delivery {
@@ -225,7 +225,7 @@
                 Ok(attempt) => {
                     self.delivering.upstreams.answered(attempt.chosen.entry.hash);
                     self.note_answer();
-                    self.delivering.metrics.first_byte(bendhinge_clock::now().since(self.turn.began));
+                    self.delivering.metrics.record_first_byte(bendhinge_clock::now().since(self.turn.began));
                     return Ok(attempt);
                 }
                 Err(failed) => self.after(failed)?,
@@ -243,8 +243,8 @@
         let watched = self.watch()?;
         let chosen = self.choose(may_try)?;
         self.tried.push(chosen.entry.hash);
-        let number = self.line.sent(&chosen);
-        self.delivering.metrics.list_age(chosen.list_age);
+        let number = self.line.record_send(&chosen);
+        self.delivering.metrics.record_list_age(chosen.list_age);
         let sent = Sent::new(number, &chosen, watched);
         let send =
             NewSend { sent: sent.clone(), chosen, left, resume_after: resume_after.map(str::to_owned) };
@@ -304,7 +304,7 @@
         match self.delivering.quarantine.begin(digest) {
             Ok(watched) => Ok(watched.map(Arc::new)),
             Err(kept) => {
-                self.line.same_as(digest);
+                self.line.set_digest(digest);
                 Err(self.not_now(kept.code, kept.retry_after))
             }
         }
@@ -353,8 +353,8 @@
     fn note_end(&mut self, sent: &Sent, end: SendEnd) -> bool {
         let Delivering { upstreams, metrics, log, .. } = &*self.delivering;
         let Sent { number, upstream, at, .. } = sent;
-        self.line.send_ended(*number, end);
-        metrics.send_ended(end);
+        self.line.record_send_end(*number, end);
+        metrics.count_send_end(end);
         match end {
             SendEnd::Rejected if self.is_paced => {
                 let upstreams = upstreams.working_in(&self.turn.pool);
@@ -365,13 +365,13 @@
                 self.note_whole_answer();
             }
             SendEnd::Lost => {
-                self.line.same_as(self.turn.digest(&self.delivering.identities));
+                self.line.set_digest(self.turn.digest(&self.delivering.identities));
                 look_into(&self.delivering, &self.turn, sent.clone());
             }
             _ => {}
         }
         if upstream_failure(end).is_some_and(|failure| upstreams.failed(upstream.hash, failure, *at)) {
-            log.upstream_rests(&upstream.name, end);
+            log.upstream_ejected(&upstream.name, end);
         }
         self.course.ended(end)
     }
@@ -415,7 +415,7 @@
 
     fn pass_failure(&mut self, failure: FailureAnswer) -> Response<Body> {
         let FailureAnswer { mut head, body } = failure;
-        self.line.ended(&self.delivering.log, head.status.as_u16(), None, &self.course);
+        self.line.write_answered(&self.delivering.log, head.status.as_u16(), None, &self.course);
         headers::to_caller(&mut head.headers);
         Response::from_parts(head, full_body(body))
     }
@@ -427,7 +427,7 @@
         match body {
             AttemptBody::Whole(bytes) => {
                 self.note_whole_answer();
-                self.line.ended(&self.delivering.log, head.status.as_u16(), None, &self.course);
+                self.line.write_answered(&self.delivering.log, head.status.as_u16(), None, &self.course);
                 Response::from_parts(head, full_body(bytes))
             }
             AttemptBody::Stream(body, connection) => {
--- a/crates/bendhinge_gateway/src/delivery/relay.rs
+++ b/crates/bendhinge_gateway/src/delivery/relay.rs
@@ -114,7 +114,7 @@
         }
         self.delivery.note_whole_answer();
         let Delivery { line, delivering, course, .. } = &mut self.delivery;
-        line.ended(&delivering.log, 200, None, course);
+        line.write_answered(&delivering.log, 200, None, course);
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
@@ -144,7 +144,7 @@
         self.is_over = true;
         self.source = None;
         let Delivery { line, delivering, course, .. } = &mut self.delivery;
-        line.ended(&delivering.log, 200, Some(ResultCode::AnswerCutShort), course);
+        line.write_answered(&delivering.log, 200, Some(ResultCode::AnswerCutShort), course);
         io::Error::other("the upstream's stream broke off")
     }
 }
@@ -153,7 +153,7 @@
     fn drop(&mut self) {
         if !self.is_over {
             let Delivery { line, delivering, course, .. } = &mut self.delivery;
-            line.caller_left(&delivering.log, course);
+            line.write_caller_left(&delivering.log, course);
         }
     }
 }
--- a/crates/bendhinge_gateway/src/intake/mod.rs
+++ b/crates/bendhinge_gateway/src/intake/mod.rs
@@ -102,7 +102,7 @@
         began: Instant,
     ) -> Result<Response<Body>, Refused> {
         check_form(&head)?;
-        if !self.lifecycle.takes_requests() {
+        if !self.lifecycle.accepts_requests() {
             return Err(ResultCode::RouterStopping.into());
         }
         let tie_breaker = rand::rng().random();
@@ -113,7 +113,7 @@
             return Err(ResultCode::ViewNotFresh.into());
         }
         drop(current);
-        let in_progress = self.lifecycle.begin();
+        let in_progress = self.lifecycle.begin_request();
         let limit =
             began + call.deadline.map_or(allowed.route.timeout, |left| left.min(allowed.route.timeout));
         let body = read(body, &allowed.limits, limit).await?;
@@ -138,12 +138,12 @@
     fn refuse(&self, id: Option<&HeaderValue>, refused: Refused) -> Response<Body> {
         let Refused { code, was_sent, retry_after, digest } = refused;
         let delivering = &self.delivering;
-        delivering.metrics.result(code);
+        delivering.metrics.count_result(code);
         let retry_after = retry_after.or_else(|| code.invites_retry().then(soon));
         if !was_sent {
             let rules_age = delivering.rules.age(bendhinge_clock::now());
             let id = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
-            delivering.log.refused(id, code, digest, rules_age, retry_after);
+            delivering.log.request_refused(id, code, digest, rules_age, retry_after);
         }
         let mut answer = Response::new(full_body(Bytes::new()));
         *answer.status_mut() =
--- a/crates/bendhinge_gateway/src/knowledge/rules.rs
+++ b/crates/bendhinge_gateway/src/knowledge/rules.rs
@@ -13,7 +13,7 @@
 use smol::Timer;
 use smol::channel::{Receiver, Sender, bounded};
 
-use crate::settings::BeliefSettings;
+use crate::settings::RulesSettings;
 
 /// A version of the rules with the document it was read from.
 #[derive(Debug)]
@@ -35,10 +35,10 @@
 
 impl RulesKeeper {
     /// No rules yet.
-    pub(crate) fn new(limits: BeliefSettings) -> Self {
-        let first_until = bendhinge_clock::now() + limits.first_rules;
+    pub(crate) fn new(limits: RulesSettings) -> Self {
+        let first_until = bendhinge_clock::now() + limits.startup_wait;
         let (first, first_arrived) = bounded(1);
-        Self { belief: Mutex::default(), lease: limits.rules_lease, first_until, first, first_arrived }
+        Self { belief: Mutex::default(), lease: limits.lease, first_until, first, first_arrived }
     }
 
     /// The rules in force. Those who ask while the process starts wait for them for a moment, which is a small part of
--- a/crates/bendhinge_gateway/src/knowledge/upstreams.rs
+++ b/crates/bendhinge_gateway/src/knowledge/upstreams.rs
@@ -118,8 +118,8 @@
         let state = State {
             belief: Replica::default(),
             part: None,
-            directory: Directory::new(settings.directory),
-            judge: OutlierDetector::new(settings.judge),
+            directory: Directory::new(settings.directory_limits),
+            judge: OutlierDetector::new(settings.outlier_limits),
             rests: RequestedBackoffs::default(),
             evidence: FailureDetector::new(router_hash(own)),
             loads: Loads::default(),
@@ -129,7 +129,7 @@
             demand: FxHashMap::default(),
             gateways: None,
         };
-        let costs = CostModel { load_bound_factor: settings.load_bound, ..CostModel::default() };
+        let costs = CostModel { load_bound_factor: settings.load_bound_factor, ..CostModel::default() };
         Self { state: Mutex::new(state), costs, regions }
     }
 
--- a/crates/bendhinge_gateway/src/lib.rs
+++ b/crates/bendhinge_gateway/src/lib.rs
@@ -1,17 +1,15 @@
-//! The gateway: takes callers' requests by host and path, decides which upstream serves each, and
-//! passes the whole answer back.
+//! A gateway that routes requests of callers by host and path to upstreams and passes their answers back.
 //!
-//! One module per duty, each with its own state and a narrow interface; [`run`] alone knows all:
+//! Each module owns its state; `run` wires them together:
 //!
-//! * `intake`: a caller's request up to the decision to serve it,
-//! * `delivery`: sends until there is one answer, and passing it back whole,
-//! * `quarantine`: the requests under which upstreams crash,
-//! * `knowledge`: the rules in force and the upstreams, with the age of what is believed,
-//! * `control`: the other gateways and the platform's store, from which knowledge comes,
-//! * `lifecycle`, `ready`: starting, being ready, stopping.
+//! * `intake`: receives and admits requests of callers,
+//! * `delivery`: sends requests to upstreams, with retries, and relays the answer,
+//! * `quarantine`: blocks requests that crash upstreams,
+//! * `knowledge`: replicas of the serving rules and of the list of upstreams, with their ages,
+//! * `control`: communication with the other gateways and the platform's store,
+//! * `lifecycle`, `ready`: graceful shutdown and readiness.
 //!
-//! How callers, upstreams and the platform spell all this is an adapter's business, see
-//! [`dialect`].
+//! Adapters translate the protocols of callers, upstreams and the platform's store, see [`dialect`].
 
 mod args;
 mod control;
--- a/crates/bendhinge_gateway/src/lifecycle.rs
+++ b/crates/bendhinge_gateway/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! From the start to the end of the process: when it is ready, and when it may stop.
+//! Graceful shutdown of the process: tracks requests in progress and decides when new ones are refused.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -9,14 +9,14 @@
 
 use crate::settings::StopSettings;
 
-/// Where the process stands.
+/// The shutdown state of the process and its number of requests in progress.
 pub(crate) struct Lifecycle {
     settings: StopSettings,
     stopping_since: OnceLock<Instant>,
     in_progress: AtomicUsize,
 }
 
-/// A request in progress, until dropped.
+/// Counts a request as in progress until dropped.
 pub(crate) struct InProgress(Arc<Lifecycle>);
 
 impl Drop for InProgress {
@@ -30,46 +30,46 @@
         Self { settings, stopping_since: OnceLock::new(), in_progress: AtomicUsize::new(0) }
     }
 
-    /// Counts a request in.
-    pub(crate) fn begin(self: &Arc<Self>) -> InProgress {
+    /// Counts a request as in progress until the returned guard is dropped.
+    pub(crate) fn begin_request(self: &Arc<Self>) -> InProgress {
         self.in_progress.fetch_add(1, Ordering::Relaxed);
         InProgress(Arc::clone(self))
     }
 
-    /// How many requests are in progress.
+    /// Returns the number of requests in progress.
     pub(crate) fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Acquire)
     }
 
-    /// Whether the process was asked to stop.
+    /// Returns whether shutdown has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping_since.get().is_some()
     }
 
-    /// Notes that the process was asked to stop.
-    pub(crate) fn stop(&self) {
-        // Asked again, it has been stopping since it was first asked.
+    /// Begins shutdown.
+    pub(crate) fn begin_shutdown(&self) {
+        // Repeated calls keep the time of the first one.
         let _ = self.stopping_since.set(bendhinge_clock::now());
     }
 
-    /// Whether a request that comes now is still served: for a while after the request to stop,
-    /// so that callers and the balancer can notice.
-    pub(crate) fn takes_requests(&self) -> bool {
+    /// Returns whether new requests are served. They still are for a period after the stop signal, so that
+    /// callers and the load balancer can react to it.
+    pub(crate) fn accepts_requests(&self) -> bool {
         let since = self.stopping_since.get();
-        since.is_none_or(|since| bendhinge_clock::now().since(*since) < self.settings.accept)
+        since.is_none_or(|since| bendhinge_clock::now().since(*since) < self.settings.accept_period)
     }
 
-    /// Waits until callers had time to notice and no request is in progress, or until the time
-    /// before the process is killed is nearly over.
-    pub(crate) async fn drained(&self) {
-        const LOOK: Duration = Duration::from_millis(20);
-        /// What is kept of the grace time for the last answers on their way.
-        const LAST_MOMENTS: Duration = Duration::from_millis(400);
-        Timer::after(self.settings.accept).await;
-        let rest = self.settings.grace.saturating_sub(self.settings.accept + LAST_MOMENTS);
-        let until = bendhinge_clock::now() + rest;
-        while self.in_progress() > 0 && bendhinge_clock::now() < until {
-            Timer::after(LOOK).await;
+    /// Waits until the accept period is over and no request is in progress, or until shortly before the grace
+    /// period ends.
+    pub(crate) async fn wait_until_drained(&self) {
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
+        /// Part of the grace period that is reserved for writing the last answers.
+        const WRITE_MARGIN: Duration = Duration::from_millis(400);
+        Timer::after(self.settings.accept_period).await;
+        let remaining = self.settings.grace_period.saturating_sub(self.settings.accept_period + WRITE_MARGIN);
+        let deadline = bendhinge_clock::now() + remaining;
+        while self.in_progress() > 0 && bendhinge_clock::now() < deadline {
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/bendhinge_gateway/src/log/mod.rs
+++ b/crates/bendhinge_gateway/src/log/mod.rs
@@ -1,4 +1,5 @@
-//! Structured logs: a line for each decision that touches a request or changes what is believed.
+//! Structured logging: one JSON line for each decision about a request and for each change of
+//! replicated state.
 
 mod request;
 
@@ -18,23 +19,23 @@
 use spdlog::sink::{AsyncPoolSink, OverflowPolicy, StdStreamSink};
 use spdlog::{Record, StringBuf, ThreadPool};
 
-pub(crate) use self::request::RequestLine;
-use crate::metrics::Believed;
+pub(crate) use self::request::RequestLogEntry;
+use crate::metrics::ReplicaKind;
 
-/// Lines that may wait to be written; further ones are dropped and counted.
-const MOST_WAITING: usize = 1_024;
+/// The number of lines queued for writing above which further lines are dropped and counted.
+const MAX_QUEUED_LINES: usize = 1_024;
 
-/// How many lines were handed over, written and dropped.
+/// Numbers of lines that were queued, written and dropped.
 #[derive(Debug, Default)]
-struct Counts {
-    accepted: AtomicUsize,
+struct LineCounts {
+    queued: AtomicUsize,
     written: AtomicUsize,
     dropped: AtomicUsize,
 }
 
-/// Writes lines as they are, and counts them.
+/// Formats a record as its bare payload and counts the written lines.
 #[derive(Clone)]
-struct LineFormatter(Arc<Counts>);
+struct LineFormatter(Arc<LineCounts>);
 
 impl Formatter for LineFormatter {
     fn format(
@@ -50,15 +51,15 @@
     }
 }
 
-/// Writes lines on a thread of its own, so that nobody waits for whoever reads them; cheap to
+/// Asynchronous log writer, so that a slow reader of standard output blocks no request; cheap to
 /// clone.
 #[derive(Clone)]
 pub(crate) struct Log {
     logger: Arc<spdlog::Logger>,
-    counts: Arc<Counts>,
+    counts: Arc<LineCounts>,
 }
 
-/// A line, as JSON.
+/// The JSON form of a log line.
 #[derive(Serialize)]
 struct Line<'a, T> {
     t: u64,
@@ -68,12 +69,12 @@
 }
 
 impl Log {
-    /// A log to standard output.
+    /// Creates a log that writes to standard output.
     pub(crate) fn new() -> Result<Self, spdlog::Error> {
-        let counts = Arc::new(Counts::default());
+        let counts = Arc::new(LineCounts::default());
         let formatter = LineFormatter(Arc::clone(&counts));
         let output = StdStreamSink::builder().stdout().formatter(formatter).build_arc()?;
-        let capacity = NonZeroUsize::MIN.saturating_add(2 * MOST_WAITING);
+        let capacity = NonZeroUsize::MIN.saturating_add(2 * MAX_QUEUED_LINES);
         let pool = ThreadPool::builder().capacity(capacity).build_arc()?;
         let sink = AsyncPoolSink::builder()
             .sink(output)
@@ -84,50 +85,50 @@
         Ok(Self { logger, counts })
     }
 
-    fn line(&self, event: &str, fields: impl Serialize) {
-        let accepted = self.counts.accepted.load(Ordering::Relaxed);
-        let waiting = accepted.saturating_sub(self.counts.written.load(Ordering::Relaxed));
-        if waiting >= MOST_WAITING {
+    fn log_event(&self, event: &str, fields: impl Serialize) {
+        let total_queued = self.counts.queued.load(Ordering::Relaxed);
+        let queued = total_queued.saturating_sub(self.counts.written.load(Ordering::Relaxed));
+        if queued >= MAX_QUEUED_LINES {
             self.counts.dropped.fetch_add(1, Ordering::Relaxed);
             return;
         }
         let dropped = self.counts.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            self.write("lines_dropped", Dropped { dropped });
+            self.write_line("lines_dropped", DroppedLines { dropped });
         }
-        self.write(event, fields);
+        self.write_line(event, fields);
     }
 
-    fn write(&self, event: &str, fields: impl Serialize) {
+    fn write_line(&self, event: &str, fields: impl Serialize) {
         let line = Line { t: bendhinge_clock::now().0 / 1_000, event, fields };
         if let Ok(text) = serde_json::to_string(&line) {
-            self.counts.accepted.fetch_add(1, Ordering::Relaxed);
+            self.counts.queued.fetch_add(1, Ordering::Relaxed);
             spdlog::info!(logger: self.logger, "{text}");
         }
     }
 
-    /// The process began, ends, or read its settings anew.
-    pub(crate) fn process(&self, event: &str, name: &str, detail: &str) {
+    /// Logs an event of the process, such as its start, stop or a reload of its settings.
+    pub(crate) fn process_event(&self, event: &str, name: &str, detail: &str) {
         #[derive(Serialize)]
         struct Fields<'a> {
             name: &'a str,
             detail: &'a str,
         }
-        self.line(event, Fields { name, detail });
+        self.log_event(event, Fields { name, detail });
     }
 
-    /// The process listens.
+    /// Logs that the process listens on an address.
     pub(crate) fn listening(&self, what: &str, address: SocketAddr) {
         #[derive(Serialize)]
         struct Fields<'a> {
             what: &'a str,
             address: SocketAddr,
         }
-        self.line("listening", Fields { what, address });
+        self.log_event("listening", Fields { what, address });
     }
 
-    /// A belief changed: which version is held now, from where, as of how long ago.
-    pub(crate) fn belief(&self, what: Believed, version: Version, from: Origin, age: Duration) {
+    /// Logs the version, origin and age of a replica that was updated.
+    pub(crate) fn replica_updated(&self, what: ReplicaKind, version: Version, from: Origin, age: Duration) {
         #[derive(Serialize)]
         struct Fields {
             what: &'static str,
@@ -137,12 +138,18 @@
             age_ms: u64,
         }
         let digest = format!("{:016x}", version.digest);
-        let (what, from, age_ms) = (what.as_str(), from.as_str(), millis(age));
-        self.line("belief", Fields { what, revision: version.revision.0, digest, from, age_ms });
+        let (what, from, age_ms) = (what.as_str(), from.as_str(), whole_millis(age));
+        self.log_event("belief", Fields { what, revision: version.revision.0, digest, from, age_ms });
     }
 
-    /// Another gateway holds something newer and did not hand it over.
-    pub(crate) fn fetch_failed(&self, what: Believed, from: SocketAddr, took: Duration, error: &CallError) {
+    /// Logs that fetching a newer replica from another gateway failed.
+    pub(crate) fn peer_fetch_failed(
+        &self,
+        what: ReplicaKind,
+        from: SocketAddr,
+        took: Duration,
+        error: &CallError,
+    ) {
         #[derive(Serialize)]
         struct Fields {
             what: &'static str,
@@ -150,59 +157,59 @@
             ms: u64,
             error: String,
         }
-        let fields = Fields { what: what.as_str(), from, ms: millis(took), error: error.to_string() };
-        self.line("fetch_failed", fields);
+        let fields = Fields { what: what.as_str(), from, ms: whole_millis(took), error: error.to_string() };
+        self.log_event("fetch_failed", fields);
     }
 
-    /// Something that the process depends on was lost or found again.
-    pub(crate) fn dependency(&self, what: &str, is_there: bool, detail: &str) {
+    /// Logs that a dependency became unavailable or available again.
+    pub(crate) fn dependency_changed(&self, what: &str, is_available: bool, detail: &str) {
         #[derive(Serialize)]
         struct Fields<'a> {
             what: &'a str,
             there: bool,
             detail: &'a str,
         }
-        self.line("dependency", Fields { what, there: is_there, detail });
+        self.log_event("dependency", Fields { what, there: is_available, detail });
     }
 
-    /// It was learned what upstreams keep.
-    pub(crate) fn recovered(&self, from: &str, address: SocketAddr, parts: usize) {
+    /// Logs how many prompt parts were learned as cached at upstreams.
+    pub(crate) fn cached_parts_recovered(&self, from: &str, address: SocketAddr, parts: usize) {
         #[derive(Serialize)]
         struct Fields<'a> {
             from: &'a str,
             address: SocketAddr,
             parts: usize,
         }
-        self.line("recovered", Fields { from, address, parts });
+        self.log_event("recovered", Fields { from, address, parts });
     }
 
-    /// An entry of the store names no upstream, since something is wrong with it, or it is there no more.
-    pub(crate) fn foreign_entry(&self, key: &str, why: Option<&str>) {
+    /// Logs an entry of the store that describes no upstream. `why` is `None` when the entry was removed.
+    pub(crate) fn foreign_entry_changed(&self, key: &str, why: Option<&str>) {
         #[derive(Serialize)]
         struct Fields<'a> {
             key: &'a str,
             why: Option<&'a str>,
         }
-        self.line("foreign_entry", Fields { key, why });
+        self.log_event("foreign_entry", Fields { key, why });
     }
 
-    /// An upstream is spared for a while.
-    pub(crate) fn upstream_rests(&self, upstream: &UpstreamName, end: SendEnd) {
+    /// Logs that an upstream was ejected because of a failed send.
+    pub(crate) fn upstream_ejected(&self, upstream: &UpstreamName, end: SendEnd) {
         #[derive(Serialize)]
         struct Fields<'a> {
             upstream: &'a str,
             end: &'a str,
         }
-        self.line("upstream_rests", Fields { upstream: upstream.as_str(), end: end.as_str() });
+        self.log_event("upstream_rests", Fields { upstream: upstream.as_str(), end: end.as_str() });
     }
 
-    /// An upstream asked for so long a `rest`, and is `spared` for so long.
-    pub(crate) fn rest_asked(
+    /// Logs the backoff that an upstream requested and the one that the gateway applies.
+    pub(crate) fn backoff_requested(
         &self,
         request: Option<&str>,
         upstream: &UpstreamName,
-        rest: Duration,
-        spared: Duration,
+        requested: Duration,
+        applied: Duration,
     ) {
         #[derive(Serialize)]
         struct Fields<'a> {
@@ -211,32 +218,32 @@
             rest_ms: u64,
             spared_ms: u64,
         }
-        let (rest_ms, spared_ms) = (millis(rest), millis(spared));
-        self.line("rest_asked", Fields { request, upstream: upstream.as_str(), rest_ms, spared_ms });
+        let (rest_ms, spared_ms) = (whole_millis(requested), whole_millis(applied));
+        self.log_event("rest_asked", Fields { request, upstream: upstream.as_str(), rest_ms, spared_ms });
     }
 
-    /// An upstream said in an answer that it leaves, for the first time.
-    pub(crate) fn leaving_said(&self, request: Option<&str>, upstream: &UpstreamName) {
+    /// Logs the first answer in which an upstream announced that it is draining.
+    pub(crate) fn drain_announced(&self, request: Option<&str>, upstream: &UpstreamName) {
         #[derive(Serialize)]
         struct Fields<'a> {
             request: Option<&'a str>,
             upstream: &'a str,
         }
-        self.line("leaving_said", Fields { request, upstream: upstream.as_str() });
+        self.log_event("leaving_said", Fields { request, upstream: upstream.as_str() });
     }
 
-    /// An upstream is spared for a while, since others found that it answers nobody.
-    pub(crate) fn upstream_suspected(&self, upstream: &UpstreamName, told_by: SocketAddr) {
+    /// Logs that an upstream was ejected because other gateways found it unresponsive.
+    pub(crate) fn upstream_suspected(&self, upstream: &UpstreamName, peer: SocketAddr) {
         #[derive(Serialize)]
         struct Fields<'a> {
             upstream: &'a str,
             told_by: SocketAddr,
         }
-        self.line("upstream_suspected", Fields { upstream: upstream.as_str(), told_by });
+        self.log_event("upstream_suspected", Fields { upstream: upstream.as_str(), told_by: peer });
     }
 
-    /// An upstream crashed under a request, which `crashes` are held against now.
-    pub(crate) fn crash(
+    /// Logs that an upstream crashed while it processed a request, and the request's number of crashes.
+    pub(crate) fn upstream_crashed(
         &self,
         request: &str,
         digest: RequestDigest,
@@ -251,62 +258,62 @@
             crashes: usize,
         }
         let fields = Fields { request, digest: digest.to_string(), upstream: upstream.as_str(), crashes };
-        self.line("crash", fields);
+        self.log_event("crash", fields);
     }
 
-    /// Another gateway told of crashes under a request, or that they count no more.
-    pub(crate) fn suspicion_heard(&self, digest: RequestDigest, crashes: usize, from: SocketAddr) {
+    /// Logs a change of a request's crash count that another gateway reported.
+    pub(crate) fn suspicion_received(&self, digest: RequestDigest, crashes: usize, peer: SocketAddr) {
         #[derive(Serialize)]
         struct Fields {
             digest: String,
             crashes: usize,
             told_by: SocketAddr,
         }
-        self.line("suspicion_heard", Fields { digest: digest.to_string(), crashes, told_by: from });
+        self.log_event("suspicion_heard", Fields { digest: digest.to_string(), crashes, told_by: peer });
     }
 
-    /// Nothing is held against a request any more; before, so many crashes were.
-    pub(crate) fn suspicion_over(&self, digest: RequestDigest, why: &str, crashes: usize) {
+    /// Logs that a request's crash count was cleared, with its last value.
+    pub(crate) fn suspicion_cleared(&self, digest: RequestDigest, why: &str, crashes: usize) {
         #[derive(Serialize)]
         struct Fields<'a> {
             digest: String,
             why: &'a str,
             crashes: usize,
         }
-        self.line("suspicion_over", Fields { digest: digest.to_string(), why, crashes });
+        self.log_event("suspicion_over", Fields { digest: digest.to_string(), why, crashes });
     }
 
-    /// A caller's connection was cut since it left its answer unread.
-    pub(crate) fn answer_unread(&self, caller: SocketAddr) {
+    /// Logs that a caller's connection was closed because the caller did not read its answer.
+    pub(crate) fn slow_caller_disconnected(&self, caller: SocketAddr) {
         #[derive(Serialize)]
         struct Fields {
             caller: SocketAddr,
         }
-        self.line("answer_unread", Fields { caller });
+        self.log_event("answer_unread", Fields { caller });
     }
 
-    /// Requests to a pool are paced from now on, at so many a second, or no more.
-    pub(crate) fn pace(&self, pool: &PoolName, per_second: Option<f64>) {
+    /// Logs a change of a pool's rate limit; `None` means that it was lifted.
+    pub(crate) fn rate_limit_changed(&self, pool: &PoolName, per_second: Option<f64>) {
         #[derive(Serialize)]
         struct Fields<'a> {
             pool: &'a str,
             per_second: Option<f64>,
         }
-        self.line("pace", Fields { pool: pool.as_str(), per_second });
+        self.log_event("pace", Fields { pool: pool.as_str(), per_second });
     }
 
-    /// These data centres are drained now, and no others.
-    pub(crate) fn drained(&self, drained: &[DataCentreName], from: Origin) {
+    /// Logs the full set of drained data centres after a change.
+    pub(crate) fn drained_data_centres_changed(&self, drained: &[DataCentreName], from: Origin) {
         #[derive(Serialize)]
         struct Fields<'a> {
             data_centres: &'a [DataCentreName],
             from: &'static str,
         }
-        self.line("drained", Fields { data_centres: drained, from: from.as_str() });
+        self.log_event("drained", Fields { data_centres: drained, from: from.as_str() });
     }
 
-    /// A request that was answered before it was sent anywhere.
-    pub(crate) fn refused(
+    /// Logs a request that the gateway refused without sending it to an upstream.
+    pub(crate) fn request_refused(
         &self,
         request: &str,
         code: ResultCode,
@@ -328,18 +335,18 @@
             request,
             code: code.to_string(),
             digest: digest.map(|digest| digest.to_string()),
-            rules_age_ms: rules_age.map(millis),
-            retry_after_ms: retry_after.map(millis),
+            rules_age_ms: rules_age.map(whole_millis),
+            retry_after_ms: retry_after.map(whole_millis),
         };
-        self.line("refused", fields);
+        self.log_event("refused", fields);
     }
 }
 
 #[derive(Serialize)]
-struct Dropped {
+struct DroppedLines {
     dropped: usize,
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn whole_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/bendhinge_gateway/src/log/request.rs
+++ b/crates/bendhinge_gateway/src/log/request.rs
@@ -1,16 +1,17 @@
-//! The one line of a request that was let in: every send, and how it all ended.
+//! The log line of an admitted request, with its sends and its outcome.
 
 use bendhinge_codes::ResultCode;
 use bendhinge_delivery::{Course, SendEnd};
 use bendhinge_ids::{Instant, RequestDigest};
 use serde::Serialize;
 
-use super::{Log, millis};
+use super::{Log, whole_millis};
 use crate::delivery::Turn;
 use crate::knowledge::Chosen;
 
+/// A send of the request to an upstream.
 #[derive(Serialize)]
-struct Send {
+struct SendRecord {
     upstream: String,
     why: &'static str,
     load: f32,
@@ -25,66 +26,66 @@
     fetched: bool,
 }
 
-#[expect(clippy::trivially_copy_pass_by_ref, reason = "the form that the library asks for")]
-const fn is_false(flag: &bool) -> bool {
-    !*flag
+#[expect(clippy::trivially_copy_pass_by_ref, reason = "the signature that serde requires")]
+const fn is_false(value: &bool) -> bool {
+    !*value
 }
 
-#[expect(clippy::trivially_copy_pass_by_ref, reason = "the form that the library asks for")]
+#[expect(clippy::trivially_copy_pass_by_ref, reason = "the signature that serde requires")]
 const fn is_zero(number: &u32) -> bool {
     *number == 0
 }
 
-/// What is gathered of a request until its line is written.
-pub(crate) struct RequestLine {
+/// Collects what is logged of a request until its line is written.
+pub(crate) struct RequestLogEntry {
     request: String,
     route: String,
-    began: Instant,
-    sends: Vec<Send>,
+    started_at: Instant,
+    sends: Vec<SendRecord>,
     digest: Option<RequestDigest>,
 }
 
-impl RequestLine {
+impl RequestLogEntry {
     pub(crate) fn new(turn: &Turn) -> Self {
         let request = turn.call.id.as_ref().and_then(|id| id.to_str().ok()).unwrap_or_default();
         Self {
             request: request.to_owned(),
             route: turn.route.name.clone(),
-            began: turn.began,
+            started_at: turn.began,
             sends: Vec::new(),
             digest: None,
         }
     }
 
-    fn at_ms(&self) -> u64 {
-        millis(bendhinge_clock::now().since(self.began))
+    fn elapsed_ms(&self) -> u64 {
+        whole_millis(bendhinge_clock::now().since(self.started_at))
     }
 
-    /// It is sent; gives the number of the send.
-    pub(crate) fn sent(&mut self, chosen: &Chosen) -> usize {
-        let at_ms = self.at_ms();
-        self.sends.push(Send {
+    /// Records a send and returns its index.
+    pub(crate) fn record_send(&mut self, chosen: &Chosen) -> usize {
+        let at_ms = self.elapsed_ms();
+        self.sends.push(SendRecord {
             upstream: chosen.entry.name.to_string(),
             why: chosen.reason.as_str(),
             load: chosen.load,
             mean_load: chosen.mean_load,
             missing: chosen.missing,
             at_ms,
-            list_age_ms: millis(chosen.list_age),
+            list_age_ms: whole_millis(chosen.list_age),
             end: None,
             fetched: chosen.fetch_from.is_some(),
         });
         self.sends.len() - 1
     }
 
-    /// It is the request that others of this digest are, too.
-    pub(crate) const fn same_as(&mut self, digest: RequestDigest) {
+    /// Sets the digest that identifies repetitions of the request.
+    pub(crate) const fn set_digest(&mut self, digest: RequestDigest) {
         self.digest = Some(digest);
     }
 
-    /// The send of that number ended without an answer that is passed on.
-    pub(crate) fn send_ended(&mut self, number: usize, end: SendEnd) {
-        if let Some(send) = self.sends.get_mut(number) {
+    /// Records how a send ended whose answer is not passed on.
+    pub(crate) fn record_send_end(&mut self, index: usize, end: SendEnd) {
+        if let Some(send) = self.sends.get_mut(index) {
             send.end = Some(end.as_str());
         }
     }
@@ -101,7 +102,7 @@
             ms: u64,
             #[serde(skip_serializing_if = "Option::is_none")]
             digest: Option<String>,
-            sends: &'a [Send],
+            sends: &'a [SendRecord],
             ran: &'static str,
         }
         let fields = Fields {
@@ -110,21 +111,27 @@
             outcome,
             status,
             code: code.map(|code| code.to_string()),
-            ms: self.at_ms(),
+            ms: self.elapsed_ms(),
             digest: self.digest.map(|digest| digest.to_string()),
             sends: &self.sends,
             ran: if code.is_none() { "yes" } else { course.ran().as_str() },
         };
-        log.line("request", fields);
+        log.log_event("request", fields);
     }
 
-    /// Its answer was passed on, or it was given up.
-    pub(crate) fn ended(&mut self, log: &Log, status: u16, code: Option<ResultCode>, course: &Course) {
+    /// Writes the line of a request that got an answer from an upstream or a refusal.
+    pub(crate) fn write_answered(
+        &mut self,
+        log: &Log,
+        status: u16,
+        code: Option<ResultCode>,
+        course: &Course,
+    ) {
         self.write(log, "answered", status, code, course);
     }
 
-    /// Its caller left.
-    pub(crate) fn caller_left(&mut self, log: &Log, course: &Course) {
+    /// Writes the line of a request whose caller disconnected.
+    pub(crate) fn write_caller_left(&mut self, log: &Log, course: &Course) {
         self.write(log, "caller_left", 0, None, course);
     }
 }
--- a/crates/bendhinge_gateway/src/main.rs
+++ b/crates/bendhinge_gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's process, with the product's own interface.
+//! The gateway binary for the native dialect.
 
 fn main() -> bendhinge_codes::ExitStatus {
     bendhinge_gateway::main(bendhinge_gateway::native::Native)
--- a/crates/bendhinge_gateway/src/pacing.rs
+++ b/crates/bendhinge_gateway/src/pacing.rs
@@ -56,7 +56,7 @@
         let pace = pacer.rate_limit();
         drop(pacers);
         if pace.is_some() != was_paced {
-            self.log.pace(pool, pace);
+            self.log.rate_limit_changed(pool, pace);
         }
         result
     }
--- a/crates/bendhinge_gateway/src/quarantine.rs
+++ b/crates/bendhinge_gateway/src/quarantine.rs
@@ -147,7 +147,7 @@
         let crashes = state.crash_count(request);
         drop(state);
         if is_new {
-            self.log.crash(number, request, &upstream.name, crashes);
+            self.log.upstream_crashed(number, request, &upstream.name, crashes);
             self.changed(Origin::Store, crashes);
         }
     }
@@ -170,7 +170,7 @@
         let is_over = state.record_response(request, bendhinge_clock::now());
         drop(state);
         if is_over {
-            self.log.suspicion_over(request, why, crashes);
+            self.log.suspicion_cleared(request, why, crashes);
             self.changed(Origin::Store, crashes);
         }
     }
@@ -189,7 +189,7 @@
                 changed = changed.max(Some(crashes.max(before)));
             }
             if crashes != before && crashes.max(before) >= OF_NOTE {
-                self.log.suspicion_heard(heard.request, crashes, from);
+                self.log.suspicion_received(heard.request, crashes, from);
             }
         }
         if let Some(crashes) = changed {
--- a/crates/bendhinge_gateway/src/ready.rs
+++ b/crates/bendhinge_gateway/src/ready.rs
@@ -10,7 +10,7 @@
 
 use crate::delivery::Delivering;
 use crate::lifecycle::Lifecycle;
-use crate::metrics::MeasuredNow;
+use crate::metrics::GaugeValues;
 
 /// A gateway whose rules are too old to act on for longer than this is not ready.
 const PATIENCE: Duration = Duration::from_secs(1);
@@ -37,20 +37,20 @@
             && self.delivering.upstreams.is_begun()
     }
 
-    fn measured_now(&self) -> MeasuredNow {
-        MeasuredNow {
+    fn measured_now(&self) -> GaugeValues {
+        GaugeValues {
             in_progress: self.lifecycle.in_progress(),
             rules_age: self.delivering.rules.age(bendhinge_clock::now()),
             peer_connections: self.traffic.open_connections(),
             peer_sent_bytes: self.traffic.sent_bytes(),
-            quarantined: self.delivering.quarantine.quarantined(),
-            upstreams_resting: self.delivering.upstreams.resting(),
+            quarantined_requests: self.delivering.quarantine.quarantined(),
+            upstreams_in_backoff: self.delivering.upstreams.resting(),
         }
     }
 
     pub(crate) fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
         if request.uri().path() == METRICS_PATH {
-            return Response::new(full_body(self.delivering.metrics.text(&self.measured_now())));
+            return Response::new(full_body(self.delivering.metrics.encode_text(&self.measured_now())));
         }
         if request.uri().path() == QUARANTINE_PATH {
             return Response::new(full_body(self.delivering.quarantine.page()));
--- a/crates/bendhinge_gateway/src/run.rs
+++ b/crates/bendhinge_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a gateway: the one place that knows all duties.
+//! Starts and stops a gateway and wires its modules together.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -31,26 +31,26 @@
 use crate::retries::Retries;
 use crate::settings::{SCHEMA, Settings};
 
-/// How long an idle connection of a caller may stand: longer than any that its configuration
-/// allows, since a caller's request must not cross the close.
-const CALLER_IDLE: Duration = Duration::from_mins(2);
-/// What the last answers get to leave the box.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+/// How long an idle connection of a caller stays open. Longer than any idle timeout of callers, so that the
+/// gateway does not close a connection on which a request is in transit.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_mins(2);
+/// Delay before the process exits, for the last answers and log lines to be written.
+const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
-/// Why a gateway could not be started.
+/// Error while starting a gateway.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error("cannot listen on {address}: {error}")]
     Listen { address: SocketAddr, error: std::io::Error },
-    #[error("cannot take signals: {0}")]
+    #[error("cannot register signal handlers: {0}")]
     Signals(std::io::Error),
     #[error(transparent)]
     Metrics(#[from] MetricsError),
-    #[error("cannot set up logs: {0}")]
+    #[error("cannot set up logging: {0}")]
     Log(#[from] spdlog::Error),
 }
 
-/// The process's entry, with the adapter that it is built for.
+/// Runs the gateway's command line with the given dialect and returns the exit status.
 #[must_use]
 pub fn main(dialect: impl Dialect) -> ExitStatus {
     let args = args().run();
@@ -59,7 +59,7 @@
         return ExitStatus::Success;
     }
     let Some(path) = &args.settings else {
-        eprintln!("bendhinge: name the settings file; see --help");
+        eprintln!("bendhinge: missing settings file; see --help");
         return ExitStatus::Usage;
     };
     match Settings::read(path) {
@@ -72,7 +72,7 @@
     }
 }
 
-/// The reference of the settings, and of the rules in the product's own form.
+/// Renders the reference of the settings and of the serving rules in the native dialect as Markdown.
 #[must_use]
 pub fn reference() -> String {
     let settings = bendhinge_ini::markdown_reference(&SCHEMA);
@@ -82,9 +82,9 @@
 
 fn run(settings: Settings, path: &Path, dialect: Arc<dyn Dialect>) -> ExitStatus {
     let tasks = Tasks::default();
-    let local = Rc::new(LocalExecutor::new());
-    let serving = serve(settings, path, dialect, &tasks, &local);
-    match smol::block_on(local.run(tasks.run(serving))) {
+    let executor = Rc::new(LocalExecutor::new());
+    let serving = serve(settings, path, dialect, &tasks, &executor);
+    match smol::block_on(executor.run(tasks.run(serving))) {
         Ok(()) => ExitStatus::Success,
         Err(error) => {
             eprintln!("bendhinge: {error}");
@@ -98,58 +98,65 @@
     path: &Path,
     dialect: Arc<dyn Dialect>,
     tasks: &Tasks,
-    local: &Rc<LocalExecutor<'static>>,
+    executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<(), StartError> {
     let log = Log::new()?;
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)?;
     let lifecycle = Arc::new(Lifecycle::new(settings.stop));
-    let (quarantine, suspicions) = QuarantineKeeper::new(settings.peers, log.clone());
+    let (quarantine, suspicions) = QuarantineKeeper::new(settings.peer_address, log.clone());
     let delivering = Arc::new(Delivering {
         dialect,
-        rules: Arc::new(RulesKeeper::new(settings.beliefs)),
-        upstreams: Arc::new(UpstreamView::new(settings.peers, settings.regions.clone(), &settings.upstreams)),
-        retries: Retries::new(settings.retries),
+        rules: Arc::new(RulesKeeper::new(settings.rules)),
+        upstreams: Arc::new(UpstreamView::new(
+            settings.peer_address,
+            settings.regions.clone(),
+            &settings.upstreams,
+        )),
+        retries: Retries::new(settings.retry_budget),
         pacing: Pacing::new(log.clone()),
-        identities: IdentityKey(settings.fleet.key.derived("requests")),
+        identities: IdentityKey(settings.fleet.shared_key.derived("requests")),
         quarantine: Arc::new(quarantine),
         crash_looks: CrashLooks::default(),
-        pool: Pool::new(Arc::clone(tasks), settings.upstreams.connect, settings.upstreams.idle),
+        pool: Pool::new(
+            Arc::clone(tasks),
+            settings.upstreams.connect_timeout,
+            settings.upstreams.idle_timeout,
+        ),
         tasks: Arc::clone(tasks),
         log: log.clone(),
         metrics: Metrics::new()?,
-        answer_bytes: settings.upstreams.answer_bytes,
+        answer_bytes: settings.upstreams.max_answer_bytes,
     });
-    let callers = serve_callers(&settings, &delivering, &lifecycle).await?;
+    let caller_server = serve_callers(&settings, &delivering, &lifecycle).await?;
     let traffic = Arc::new(Traffic::default());
-    let _ready = serve_readiness(&settings, &delivering, &lifecycle, &traffic).await?;
-    let (peers, address) = listen_to_peers(settings.peers, &log).await?;
-    settings.peers = address;
+    let _readiness_server = serve_readiness(&settings, &delivering, &lifecycle, &traffic).await?;
+    let (peer_listener, address) = listen_to_peers(settings.peer_address, &log).await?;
+    settings.peer_address = address;
     let control =
-        Control::new(settings.clone(), Arc::clone(&delivering), Arc::clone(&lifecycle), traffic, local);
-    control.start(peers, suspicions);
-    log.process("started", settings.name.as_str(), env!("CARGO_PKG_VERSION"));
-    until_told_to_stop(signals, path, &control, &log).await;
-    lifecycle.stop();
-    log.process("stopping", settings.name.as_str(), &lifecycle.in_progress().to_string());
-    local.spawn(async move { control.say_goodbye().await }).detach();
-    lifecycle.drained().await;
-    callers.stop();
-    log.process("stopped", settings.name.as_str(), &lifecycle.in_progress().to_string());
-    // The last answers and lines get a moment to leave.
-    Timer::after(LAST_WORDS).await;
+        Control::new(settings.clone(), Arc::clone(&delivering), Arc::clone(&lifecycle), traffic, executor);
+    control.start(peer_listener, suspicions);
+    log.process_event("started", settings.name.as_str(), env!("CARGO_PKG_VERSION"));
+    wait_for_stop_signal(signals, path, &control, &log).await;
+    lifecycle.begin_shutdown();
+    log.process_event("stopping", settings.name.as_str(), &lifecycle.in_progress().to_string());
+    executor.spawn(async move { control.say_goodbye().await }).detach();
+    lifecycle.wait_until_drained().await;
+    caller_server.stop();
+    log.process_event("stopped", settings.name.as_str(), &lifecycle.in_progress().to_string());
+    Timer::after(FLUSH_DELAY).await;
     Ok(())
 }
 
-/// Waits for the request to stop; reads the settings again when asked to.
-async fn until_told_to_stop(mut signals: Signals, path: &Path, control: &Control, log: &Log) {
+/// Waits for a stop signal; reloads the settings on SIGHUP.
+async fn wait_for_stop_signal(mut signals: Signals, path: &Path, control: &Control, log: &Log) {
     while let Some(signal) = signals.next().await {
         match signal {
             Ok(Signal::Hup) => match Settings::read(path) {
                 Ok(settings) => {
                     control.follow(&settings);
-                    log.process("reloaded", settings.name.as_str(), "");
+                    log.process_event("reloaded", settings.name.as_str(), "");
                 }
-                Err(faults) => log.process("reload_refused", "", &faults.to_string()),
+                Err(faults) => log.process_event("reload_refused", "", &faults.to_string()),
             },
             Ok(_) => return,
             Err(_) => {}
@@ -158,22 +165,22 @@
 }
 
 async fn listen_to_peers(address: SocketAddr, log: &Log) -> Result<(TcpListener, SocketAddr), StartError> {
-    let failed = |error| StartError::Listen { address, error };
-    let listener = TcpListener::bind(address).await.map_err(failed)?;
-    let bound = listener.local_addr().map_err(failed)?;
+    let listen_error = |error| StartError::Listen { address, error };
+    let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+    let bound = listener.local_addr().map_err(listen_error)?;
     log.listening("peers", bound);
     Ok((listener, bound))
 }
 
-async fn bind(
-    what: &str,
+async fn bind_server(
+    name: &str,
     address: SocketAddr,
     limits: ServeLimits,
     delivering: &Delivering,
 ) -> Result<Server, StartError> {
-    let failed = |error| StartError::Listen { address, error };
-    let server = Server::bind(address, limits, Arc::clone(&delivering.tasks)).await.map_err(failed)?;
-    delivering.log.listening(what, server.local_addr().map_err(failed)?);
+    let listen_error = |error| StartError::Listen { address, error };
+    let server = Server::bind(address, limits, Arc::clone(&delivering.tasks)).await.map_err(listen_error)?;
+    delivering.log.listening(name, server.local_addr().map_err(listen_error)?);
     Ok(server)
 }
 
@@ -182,20 +189,22 @@
     delivering: &Arc<Delivering>,
     lifecycle: &Arc<Lifecycle>,
 ) -> Result<ServerStop, StartError> {
-    /// The largest head: more than any configuration allows, since callers keep within that.
-    const HEAD_BYTES: usize = 64 << 10;
+    /// The maximum size of a request's head; above any limit that callers are given.
+    const MAX_HEAD_BYTES: usize = 64 << 10;
     let limits = ServeLimits {
-        head_bytes: HEAD_BYTES,
-        head_time: CALLER_IDLE,
-        connections: settings.connections,
+        head_bytes: MAX_HEAD_BYTES,
+        head_time: CALLER_IDLE_TIMEOUT,
+        connections: settings.max_connections,
         ..ServeLimits::default()
     };
-    let noting = Arc::clone(delivering);
-    let unread = Arc::new(move |caller| {
-        noting.metrics.answer_unread();
-        noting.log.answer_unread(caller);
+    let recorder = Arc::clone(delivering);
+    let on_unread_answer = Arc::new(move |caller| {
+        recorder.metrics.count_slow_caller_disconnect();
+        recorder.log.slow_caller_disconnected(caller);
     });
-    let server = bind("callers", settings.callers, limits, delivering).await?.noting_unread(unread);
+    let server = bind_server("callers", settings.caller_address, limits, delivering)
+        .await?
+        .noting_unread(on_unread_answer);
     let stop = server.stopper();
     let intake = Arc::new(Intake { delivering: Arc::clone(delivering), lifecycle: Arc::clone(lifecycle) });
     let serving = server.run(move |request| intake::handle(Arc::clone(&intake), request));
@@ -209,13 +218,13 @@
     lifecycle: &Arc<Lifecycle>,
     traffic: &Arc<Traffic>,
 ) -> Result<ServerStop, StartError> {
-    let server = bind("ready", settings.ready, ServeLimits::default(), delivering).await?;
+    let server = bind_server("ready", settings.readiness_address, ServeLimits::default(), delivering).await?;
     let stop = server.stopper();
     let readiness = Arc::new(Readiness {
         delivering: Arc::clone(delivering),
         lifecycle: Arc::clone(lifecycle),
         traffic: Arc::clone(traffic),
-        lease: settings.beliefs.rules_lease,
+        lease: settings.rules.lease,
     });
     let serving = server.run(move |request| {
         let readiness = Arc::clone(&readiness);
--- a/crates/bendhinge_gateway/src/settings/mod.rs
+++ b/crates/bendhinge_gateway/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of one gateway, checked whole.
+//! Parses and validates the settings of a gateway.
 
 mod schema;
 
@@ -16,7 +16,7 @@
 
 pub use schema::SCHEMA;
 
-/// All settings.
+/// All settings of a gateway.
 #[derive(Clone)]
 pub struct Settings {
     /// The box's name.
@@ -25,53 +25,53 @@
     pub data_centre: DataCentreName,
     /// The regions of data centres.
     pub regions: RegionMap,
-    /// Where callers connect.
-    pub callers: SocketAddr,
-    /// Where a balancer asks whether the gateway is ready.
-    pub ready: SocketAddr,
-    /// Where other gateways connect.
-    pub peers: SocketAddr,
-    /// How many connections callers may have.
-    pub connections: usize,
+    /// The address that callers connect to.
+    pub caller_address: SocketAddr,
+    /// The address for readiness checks by a load balancer.
+    pub readiness_address: SocketAddr,
+    /// The address that other gateways connect to.
+    pub peer_address: SocketAddr,
+    /// The maximum number of connections from callers.
+    pub max_connections: usize,
     /// The box's network link.
     pub link: Link,
     /// The platform's store.
     pub store: StoreSettings,
     /// The other gateways.
     pub fleet: FleetSettings,
-    /// How long what is believed may be acted on.
-    pub beliefs: BeliefSettings,
-    /// Upstreams.
+    /// Validity of the serving rules.
+    pub rules: RulesSettings,
+    /// Connections to upstreams and failure detection.
     pub upstreams: UpstreamSettings,
-    /// Sending requests again.
-    pub retries: FleetRetryBudget,
-    /// Stopping.
+    /// The fleet's retry budget.
+    pub retry_budget: FleetRetryBudget,
+    /// Graceful shutdown.
     pub stop: StopSettings,
-    /// Requests that operators want served again, whatever crashed under them before the settings were read.
-    pub released: Vec<RequestDigest>,
+    /// Requests that operators release from quarantine when the settings are read.
+    pub released_requests: Vec<RequestDigest>,
 }
 
-/// The region of each data centre, as far as the operators say it.
+/// The region of each data centre for which the operators name one.
 pub type RegionMap = FxHashMap<DataCentreName, RegionName>;
 
-/// A network link.
+/// The capacity of a network link.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
-    /// Megabits a second.
+    /// Capacity in megabits per second.
     mbps: f64,
 }
 
 impl Link {
-    /// Whole megabits a second.
+    /// Returns the capacity in megabits per second, rounded down.
     #[must_use]
-    #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "a cast stays within bounds")]
+    #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "float casts saturate")]
     pub const fn mbps(self) -> u32 {
         self.mbps as u32
     }
 
-    /// How long it takes to carry so many bytes.
+    /// Returns how long the link takes to transfer that many bytes.
     #[must_use]
-    pub fn time_for(self, bytes: f64) -> Duration {
+    pub fn transfer_time(self, bytes: f64) -> Duration {
         const BYTES_PER_MEGABIT: f64 = 125_000.0;
         Duration::try_from_secs_f64(bytes / (self.mbps * BYTES_PER_MEGABIT)).unwrap_or(Duration::MAX)
     }
@@ -80,96 +80,96 @@
 /// The platform's store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSettings {
-    /// Its address.
+    /// The store's address.
     pub address: SocketAddr,
-    /// Time for an answer.
-    pub call: Duration,
-    /// When it is read.
-    pub reading: StoreReadTimings,
+    /// The time limit for an answer.
+    pub call_timeout: Duration,
+    /// When this gateway reads the store.
+    pub read_timings: StoreReadTimings,
 }
 
 /// The other gateways.
 #[derive(Clone)]
 pub struct FleetSettings {
-    /// The key that all share.
-    pub key: PeerKey,
-    /// Gateways to look for.
+    /// The key that all gateways share.
+    pub shared_key: PeerKey,
+    /// Addresses of gateways to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// The period of exchanges.
-    pub exchange: Duration,
-    /// Time for another gateway to answer.
-    pub call: Duration,
-    /// When a silent one is dead, and when it is forgotten.
-    pub roster: RosterTimeouts,
+    /// The interval between exchanges.
+    pub exchange_interval: Duration,
+    /// The time limit for an answer of another gateway.
+    pub call_timeout: Duration,
+    /// When a gateway without contact counts as dead, and when it is removed.
+    pub roster_timeouts: RosterTimeouts,
 }
 
-/// How long what is believed may be acted on.
+/// Validity of the serving rules.
 #[derive(Clone, Copy, Debug)]
-pub struct BeliefSettings {
-    /// The age of the rules up to which requests with a key are sent; `None` is no limit.
-    pub rules_lease: Option<Duration>,
+pub struct RulesSettings {
+    /// The age of the rules up to which requests with a key are sent; `None` means no limit.
+    pub lease: Option<Duration>,
     /// How long after the start of the process requests wait for the first rules.
-    pub first_rules: Duration,
+    pub startup_wait: Duration,
 }
 
-/// Connections to upstreams, and judging them.
+/// Connections to upstreams and failure detection.
 #[derive(Clone, Copy, Debug)]
 pub struct UpstreamSettings {
-    /// Time to connect.
-    pub connect: Duration,
-    /// How long a connection is kept idle.
-    pub idle: Duration,
-    /// The largest answer that is not a stream.
-    pub answer_bytes: usize,
-    /// Judging by answers.
-    pub judge: OutlierLimits,
-    /// Entries that vanish.
-    pub directory: DirectoryLimits,
-    /// Load as a multiple of the mean.
-    pub load_bound: f32,
-    /// Within which one that leaves is to get no more requests.
-    pub leaving: Duration,
+    /// The time limit for connecting.
+    pub connect_timeout: Duration,
+    /// How long an idle connection is kept open.
+    pub idle_timeout: Duration,
+    /// The maximum size of an answer that is not a stream.
+    pub max_answer_bytes: usize,
+    /// Ejection of upstreams that fail.
+    pub outlier_limits: OutlierLimits,
+    /// Removal of upstreams that are no longer listed.
+    pub directory_limits: DirectoryLimits,
+    /// The maximum load of an upstream as a multiple of the mean load.
+    pub load_bound_factor: f32,
+    /// The time after which a draining upstream must get no more requests.
+    pub drain_deadline: Duration,
 }
 
-/// Stopping after a request to stop.
+/// Graceful shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct StopSettings {
-    /// Time after which the process is killed.
-    pub grace: Duration,
-    /// How long callers that have not noticed are still served.
-    pub accept: Duration,
+    /// The time between the stop signal and the kill of the process.
+    pub grace_period: Duration,
+    /// How long after the stop signal new requests are still served.
+    pub accept_period: Duration,
 }
 
 impl Settings {
-    /// Reads and checks the file at `path`.
+    /// Reads and validates the file at `path`.
     pub fn read(path: &Path) -> Result<Self, Faults> {
         read_file(path, Self::parse)
     }
 
-    /// Checks `text`; `file` is named in faults.
+    /// Parses and validates `text`; `file` is the file name in error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, Faults> {
         let document = Document::parse(file, text, &SCHEMA);
-        let settings = Reader(&document).settings();
+        let settings = SettingsReader(&document).settings();
         document.finish(settings)
     }
 }
 
 impl Settings {
-    /// When the list of upstreams is read. All read it so early that each still spares an upstream in
-    /// time that began to leave right after the last read.
-    pub(crate) fn list_reading(&self) -> StoreReadTimings {
-        /// For the read, which is given up after longer only if the store is silent, and for a request's way.
-        const MARGIN: Duration = Duration::from_millis(800);
-        let reading = self.store.reading;
-        let last = self.upstreams.leaving.saturating_sub(MARGIN).max(reading.first_rank_age);
-        StoreReadTimings { max_age: reading.max_age.min(last), ..reading }
+    /// Returns when the list of upstreams is read: often enough that an upstream that starts draining right
+    /// after a read gets no more requests after the drain deadline.
+    pub(crate) fn list_read_timings(&self) -> StoreReadTimings {
+        /// Margin for the duration of the read and for requests in transit.
+        const READ_MARGIN: Duration = Duration::from_millis(800);
+        let timings = self.store.read_timings;
+        let max_age = self.upstreams.drain_deadline.saturating_sub(READ_MARGIN).max(timings.first_rank_age);
+        StoreReadTimings { max_age: timings.max_age.min(max_age), ..timings }
     }
 }
 
-/// Values separated by commas.
-struct List<T>(Vec<T>);
+/// A comma-separated list of values.
+struct CommaSeparated<T>(Vec<T>);
 
-impl<T: FromStr> FromStr for List<T> {
+impl<T: FromStr> FromStr for CommaSeparated<T> {
     type Err = T::Err;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -178,46 +178,47 @@
     }
 }
 
-/// Takes every value before any may be missing, so that all faults show in one run.
-struct Reader<'a>(&'a Document);
+/// Builds settings from a document. Each method reads all values before it returns on a missing one, so
+/// that a single run reports every fault.
+struct SettingsReader<'a>(&'a Document);
 
-impl Reader<'_> {
+impl SettingsReader<'_> {
     fn settings(&self) -> Option<Settings> {
         let gateway = self.0.section("gateway")?;
         let store = self.0.section("store").map(|section| self.store(section));
         let fleet = self.0.section("fleet").map(|section| self.fleet(section));
-        let beliefs = self.0.section("beliefs").map(|section| self.beliefs(section));
+        let rules = self.0.section("beliefs").map(|section| self.rules(section));
         let upstreams = self.0.section("upstreams").map(|section| self.upstreams(section));
-        let retries = self.0.section("retries").map(|section| self.retries(section));
+        let retry_budget = self.0.section("retries").map(|section| self.retry_budget(section));
         let stop = self.0.section("stop").map(|section| self.stop(section));
-        let released = self
+        let released_requests = self
             .0
             .section("quarantine")
-            .map(|section| self.0.value::<List<RequestDigest>>(section, "released"));
+            .map(|section| self.0.value::<CommaSeparated<RequestDigest>>(section, "released"));
         let name = self.0.value(gateway, "name");
         let data_centre = self.0.value(gateway, "data_centre");
         let regions: Vec<_> = self.0.sections("data_centre").map(|section| self.region(section)).collect();
-        let callers = self.0.value(gateway, "callers");
-        let ready = self.0.value(gateway, "ready");
-        let peers = self.0.value(gateway, "peers");
-        let connections = self.0.value(gateway, "connections");
+        let caller_address = self.0.value(gateway, "callers");
+        let readiness_address = self.0.value(gateway, "ready");
+        let peer_address = self.0.value(gateway, "peers");
+        let max_connections = self.0.value(gateway, "connections");
         let link = self.0.ratio(gateway, "link_mbps");
         Some(Settings {
             name: name?,
             data_centre: data_centre?,
             regions: regions.into_iter().collect::<Option<_>>()?,
-            callers: callers?,
-            ready: ready?,
-            peers: peers?,
-            connections: connections?,
+            caller_address: caller_address?,
+            readiness_address: readiness_address?,
+            peer_address: peer_address?,
+            max_connections: max_connections?,
             link: Link { mbps: link? },
             store: store??,
             fleet: fleet??,
-            beliefs: beliefs??,
+            rules: rules??,
             upstreams: upstreams??,
-            retries: retries??,
+            retry_budget: retry_budget??,
             stop: stop??,
-            released: released??.0,
+            released_requests: released_requests??.0,
         })
     }
 
@@ -229,87 +230,95 @@
 
     fn store(&self, section: &Section) -> Option<StoreSettings> {
         let address = self.0.value(section, "address");
-        let call = self.0.millis(section, "call_ms");
-        let first = self.0.millis(section, "first_ms");
-        let step = self.0.millis(section, "step_ms");
-        let last = self.0.millis(section, "last_ms");
-        let retry = self.0.millis(section, "retry_ms");
-        let urgent_retry = self.0.millis(section, "urgent_retry_ms");
+        let call_timeout = self.0.millis(section, "call_ms");
+        let first_rank_age = self.0.millis(section, "first_ms");
+        let rank_step = self.0.millis(section, "step_ms");
+        let max_age = self.0.millis(section, "last_ms");
+        let retry_delay = self.0.millis(section, "retry_ms");
+        let urgent_retry_delay = self.0.millis(section, "urgent_retry_ms");
         Some(StoreSettings {
             address: address?,
-            call: call?,
-            reading: StoreReadTimings {
-                first_rank_age: first?,
-                rank_step: step?,
-                max_age: last?,
-                retry_delay: retry?,
-                urgent_retry_delay: urgent_retry?,
+            call_timeout: call_timeout?,
+            read_timings: StoreReadTimings {
+                first_rank_age: first_rank_age?,
+                rank_step: rank_step?,
+                max_age: max_age?,
+                retry_delay: retry_delay?,
+                urgent_retry_delay: urgent_retry_delay?,
             },
         })
     }
 
     fn fleet(&self, section: &Section) -> Option<FleetSettings> {
-        let key = self.0.secret(section, "key").map(PeerKey::new);
-        let seeds = self.0.value::<List<SocketAddr>>(section, "seeds");
-        let exchange = self.0.millis(section, "exchange_ms");
-        let call = self.0.millis(section, "call_ms");
+        let shared_key = self.0.secret(section, "key").map(PeerKey::new);
+        let seeds = self.0.value::<CommaSeparated<SocketAddr>>(section, "seeds");
+        let exchange_interval = self.0.millis(section, "exchange_ms");
+        let call_timeout = self.0.millis(section, "call_ms");
         let dead_after = self.0.millis(section, "dead_ms");
-        let forgotten_after = self.0.millis(section, "forget_ms");
+        let expire_after = self.0.millis(section, "forget_ms");
         Some(FleetSettings {
-            key: key?,
+            shared_key: shared_key?,
             seeds: seeds?.0,
-            exchange: exchange?,
-            call: call?,
-            roster: RosterTimeouts { dead_after: dead_after?, expire_after: forgotten_after? },
+            exchange_interval: exchange_interval?,
+            call_timeout: call_timeout?,
+            roster_timeouts: RosterTimeouts { dead_after: dead_after?, expire_after: expire_after? },
         })
     }
 
-    fn beliefs(&self, section: &Section) -> Option<BeliefSettings> {
-        let lease = self.0.millis(section, "rules_lease_ms");
+    fn rules(&self, section: &Section) -> Option<RulesSettings> {
+        let total_lease = self.0.millis(section, "rules_lease_ms");
         let margin = self.0.millis(section, "margin_ms");
-        let first_rules = self.0.millis(section, "first_rules_ms");
-        let (lease, margin) = (lease?, margin?);
-        let rules_lease = (!lease.is_zero()).then(|| lease.saturating_sub(margin));
-        Some(BeliefSettings { rules_lease, first_rules: first_rules? })
+        let startup_wait = self.0.millis(section, "first_rules_ms");
+        let (total_lease, margin) = (total_lease?, margin?);
+        let lease = (!total_lease.is_zero()).then(|| total_lease.saturating_sub(margin));
+        Some(RulesSettings { lease, startup_wait: startup_wait? })
     }
 
     fn upstreams(&self, section: &Section) -> Option<UpstreamSettings> {
-        /// The time in which a failure loses half its weight.
-        const HALF_LIFE: Duration = Duration::from_secs(3);
-        /// How long upstreams that left are remembered as sources of what they keep.
-        const REMEMBER: Duration = Duration::from_secs(3);
-        /// Evidence older than this means that the store was in trouble.
-        const GAP: Duration = Duration::from_millis(2_500);
-        let connect = self.0.millis(section, "connect_ms");
-        let idle = self.0.millis(section, "idle_ms");
-        let answer_bytes = self.0.byte_count(section, "answer_bytes");
-        let rest = self.0.millis(section, "rest_ms");
-        let longest_rest = self.0.millis(section, "longest_rest_ms");
-        let doubt = self.0.millis(section, "doubt_ms");
-        let load_bound = self.0.ratio(section, "load_bound");
-        let leaving = self.0.millis(section, "leaving_ms");
-        #[expect(clippy::cast_possible_truncation, reason = "a small number")]
+        /// The time in which the weight of a failure halves.
+        const FAILURE_HALF_LIFE: Duration = Duration::from_secs(3);
+        /// How long upstreams that left are kept as sources of cached prompts.
+        const RETENTION: Duration = Duration::from_secs(3);
+        /// The time without a confirmation of the list after which the store counts as impaired.
+        const MAX_STALENESS: Duration = Duration::from_millis(2_500);
+        let connect_timeout = self.0.millis(section, "connect_ms");
+        let idle_timeout = self.0.millis(section, "idle_ms");
+        let max_answer_bytes = self.0.byte_count(section, "answer_bytes");
+        let base_ejection = self.0.millis(section, "rest_ms");
+        let max_ejection = self.0.millis(section, "longest_rest_ms");
+        let removal_grace = self.0.millis(section, "doubt_ms");
+        let load_bound_factor = self.0.ratio(section, "load_bound");
+        let drain_deadline = self.0.millis(section, "leaving_ms");
+        #[expect(clippy::cast_possible_truncation, reason = "f32 is precise enough for a factor")]
         Some(UpstreamSettings {
-            connect: connect?,
-            idle: idle?,
-            answer_bytes: answer_bytes?,
-            judge: OutlierLimits { base_ejection: rest?, max_ejection: longest_rest?, half_life: HALF_LIFE },
-            directory: DirectoryLimits { max_staleness: GAP, removal_grace: doubt?, retention: REMEMBER },
-            load_bound: load_bound? as f32,
-            leaving: leaving?,
+            connect_timeout: connect_timeout?,
+            idle_timeout: idle_timeout?,
+            max_answer_bytes: max_answer_bytes?,
+            outlier_limits: OutlierLimits {
+                base_ejection: base_ejection?,
+                max_ejection: max_ejection?,
+                half_life: FAILURE_HALF_LIFE,
+            },
+            directory_limits: DirectoryLimits {
+                max_staleness: MAX_STALENESS,
+                removal_grace: removal_grace?,
+                retention: RETENTION,
+            },
+            load_bound_factor: load_bound_factor? as f32,
+            drain_deadline: drain_deadline?,
         })
     }
 
-    fn retries(&self, section: &Section) -> Option<FleetRetryBudget> {
+    fn retry_budget(&self, section: &Section) -> Option<FleetRetryBudget> {
         let ratio = self.0.amount(section, "ratio");
-        let slack = self.0.amount(section, "slack");
-        let span = self.0.seconds(section, "span_s");
-        Some(FleetRetryBudget { ratio: ratio?, base_retries: slack?, window: span? })
+        let base_retries = self.0.amount(section, "slack");
+        let window = self.0.seconds(section, "span_s");
+        Some(FleetRetryBudget { ratio: ratio?, base_retries: base_retries?, window: window? })
     }
 
     fn stop(&self, section: &Section) -> Option<StopSettings> {
-        let grace = self.0.seconds(section, "grace_s");
-        let accept = self.0.millis(section, "accept_ms");
-        Some(StopSettings { grace: grace?, accept: accept? })
+        let grace_period = self.0.seconds(section, "grace_s");
+        let accept_period = self.0.millis(section, "accept_ms");
+        Some(StopSettings { grace_period: grace_period?, accept_period: accept_period? })
     }
 }
--- a/crates/bendhinge_gateway/src/settings/schema.rs
+++ b/crates/bendhinge_gateway/src/settings/schema.rs
@@ -1,8 +1,8 @@
-//! The sections and keys of a gateway's settings.
+//! The schema of a gateway's settings.
 
 use bendhinge_ini::{Key, Schema, SectionKind};
 
-/// The schema of a gateway's settings.
+/// The sections and keys of a gateway's settings.
 pub const SCHEMA: Schema = Schema {
     title: "Gateway settings",
     sections: &[GATEWAY, DATA_CENTRE, STORE, FLEET, BELIEFS, UPSTREAMS, RETRIES, QUARANTINE, STOP],
@@ -16,20 +16,20 @@
     keys: &[
         Key::new("name", "name", None, "The box's name."),
         Key::new("data_centre", "name", None, "The box's data centre."),
-        Key::new("callers", "address:port", None, "Where callers connect."),
-        Key::new("ready", "address:port", None, "Where a balancer asks whether the gateway is ready."),
-        Key::new("peers", "address:port", None, "Where other gateways connect."),
+        Key::new("callers", "address:port", None, "The address that callers connect to."),
+        Key::new("ready", "address:port", None, "The address for readiness checks by a load balancer."),
+        Key::new("peers", "address:port", None, "The address that other gateways connect to."),
         Key::new(
             "connections",
             "whole number",
             Some("3000"),
-            "Callers' connections; further ones are closed.",
+            "Maximum number of connections from callers; further ones are closed.",
         ),
         Key::new(
             "link_mbps",
             "number",
             Some("1000"),
-            "Megabits a second that the box's link carries: rules that take long on it are read the more seldom.",
+            "Capacity of the box's network link in megabits per second. The longer rules take to transfer on it, the less often they are read.",
         ),
     ],
 };
@@ -38,12 +38,12 @@
     kind: "data_centre",
     named: true,
     required: false,
-    help: "A data centre of upstreams.",
+    help: "A data centre with upstreams.",
     keys: &[Key::new(
         "region",
         "name",
         None,
-        "Its region. Requests that must stay in named regions go to no upstream whose region is not said here.",
+        "The region of the data centre. Requests that are restricted to regions are not sent to data centres without a region.",
     )],
 };
 
@@ -53,23 +53,33 @@
     required: true,
     help: "The platform's store.",
     keys: &[
-        Key::new("address", "address:port", None, "Its address."),
-        Key::new("call_ms", "milliseconds", Some("1200"), "Time for an answer."),
+        Key::new("address", "address:port", None, "The store's address."),
+        Key::new("call_ms", "milliseconds", Some("1200"), "Time limit for an answer."),
         Key::new(
             "first_ms",
             "milliseconds",
             Some("700"),
-            "Age of the belief at which the first in rank reads.",
+            "Age of the replica at which the gateway of the first rank reads the store.",
+        ),
+        Key::new("step_ms", "milliseconds", Some("600"), "Additional age for each further rank."),
+        Key::new(
+            "last_ms",
+            "milliseconds",
+            Some("2200"),
+            "Age of the replica at which every gateway reads the store.",
         ),
-        Key::new("step_ms", "milliseconds", Some("600"), "How much later the next in rank does."),
-        Key::new("last_ms", "milliseconds", Some("2200"), "Age at which every gateway reads."),
         Key::new(
             "retry_ms",
             "milliseconds",
             Some("2000"),
-            "Pause after a failed read while others are heard.",
+            "Delay after a failed read while other gateways keep the replica fresh.",
+        ),
+        Key::new(
+            "urgent_retry_ms",
+            "milliseconds",
+            Some("300"),
+            "Delay after a failed read when no other gateway has a fresh replica.",
         ),
-        Key::new("urgent_retry_ms", "milliseconds", Some("300"), "Pause after a failed read when nobody is."),
     ],
 };
 
@@ -79,17 +89,37 @@
     required: true,
     help: "The other gateways.",
     keys: &[
-        Key::new("key", "16 or more characters", None, "Shows that a gateway belongs to the fleet."),
+        Key::new(
+            "key",
+            "16 or more characters",
+            None,
+            "Shared key that authenticates the gateways of a fleet to each other.",
+        ),
         Key::new(
             "seeds",
             "addresses",
             Some(""),
-            "Gateways to look for, separated by commas; they may be down.",
+            "Addresses of gateways to contact first, separated by commas; some may be down.",
+        ),
+        Key::new(
+            "exchange_ms",
+            "milliseconds",
+            Some("400"),
+            "Interval between exchanges with other gateways.",
+        ),
+        Key::new("call_ms", "milliseconds", Some("500"), "Time limit for an answer of another gateway."),
+        Key::new(
+            "dead_ms",
+            "milliseconds",
+            Some("3000"),
+            "Time without contact after which a gateway counts as dead.",
+        ),
+        Key::new(
+            "forget_ms",
+            "milliseconds",
+            Some("60000"),
+            "Time without contact after which a gateway is removed from the roster.",
         ),
-        Key::new("exchange_ms", "milliseconds", Some("400"), "The period of exchanges."),
-        Key::new("call_ms", "milliseconds", Some("500"), "Time for another gateway to answer."),
-        Key::new("dead_ms", "milliseconds", Some("3000"), "Silence after which a gateway counts as dead."),
-        Key::new("forget_ms", "milliseconds", Some("60000"), "Silence after which it is forgotten."),
     ],
 };
 
@@ -97,28 +127,28 @@
     kind: "beliefs",
     named: false,
     required: true,
-    help: "How long what is believed may be acted on.",
+    help: "How long replicated serving rules may be used.",
     keys: &[
         Key::new(
             "rules_lease_ms",
             "milliseconds",
-            // No default: any limit refuses all requests with a key in an outage of the store that
-            // outlasts it, and no limit serves revoked keys as long. Neither may come by omission.
+            // No default: a limit makes gateways refuse all requests with a key during a longer outage of the
+            // store, and without one revoked keys stay valid that long. Operators must choose.
             None,
-            "No request with a key is sent under rules that were not known to be current within this time; 0 is no limit. It has to be said.",
+            "Requests with a key are sent only if the rules were confirmed as current within this time; 0 means no limit. Must be set explicitly.",
         ),
         Key::new(
             "margin_ms",
             "milliseconds",
             Some("300"),
-            "What is kept of that for the way to the upstream.",
+            "Part of the lease that is reserved for the transfer of a request to the upstream.",
         ),
         Key::new(
             "first_rules_ms",
             "milliseconds",
-            // Where all start at once, a few read them and the others hear of them within some exchanges.
+            // Long enough that gateways that start at the same time can get the rules from each other.
             Some("600"),
-            "How long after the start of the process requests wait for the first rules, but no longer than an eighth of their time; a caller that is refused instead loses one of its few tries.",
+            "How long after the start of the process requests wait for the first rules, but at most an eighth of the time that they have left. Without the wait, callers would spend retries on refusals.",
         ),
     ],
 };
@@ -127,25 +157,30 @@
     kind: "upstreams",
     named: false,
     required: false,
-    help: "Connections to upstreams, and judging them.",
+    help: "Connections to upstreams and failure detection.",
     keys: &[
-        Key::new("connect_ms", "milliseconds", Some("300"), "Time to connect."),
-        Key::new("idle_ms", "milliseconds", Some("4000"), "How long a connection is kept idle."),
-        Key::new("rest_ms", "milliseconds", Some("500"), "The first rest of an upstream that fails."),
-        Key::new("longest_rest_ms", "milliseconds", Some("4000"), "Its longest rest."),
-        Key::new("answer_bytes", "bytes", Some("4M"), "The largest answer that is not a stream."),
+        Key::new("connect_ms", "milliseconds", Some("300"), "Time limit for connecting."),
+        Key::new("idle_ms", "milliseconds", Some("4000"), "How long an idle connection is kept open."),
+        Key::new("rest_ms", "milliseconds", Some("500"), "First ejection period of an upstream that fails."),
+        Key::new("longest_rest_ms", "milliseconds", Some("4000"), "Longest ejection period of an upstream."),
+        Key::new("answer_bytes", "bytes", Some("4M"), "Maximum size of an answer that is not a stream."),
         Key::new(
             "doubt_ms",
             "milliseconds",
             Some("3000"),
-            "How long vanished entries are kept after the store was in trouble: what lives is listed again within two seconds of its return, and read within one more.",
+            "How long removed entries are kept after the store recovers. Healthy upstreams are listed again within two seconds and read within one more.",
+        ),
+        Key::new(
+            "load_bound",
+            "number",
+            Some("1.5"),
+            "Maximum load of an upstream as a multiple of the mean load.",
         ),
-        Key::new("load_bound", "number", Some("1.5"), "Load of an upstream as a multiple of the mean."),
         Key::new(
             "leaving_ms",
             "milliseconds",
             Some("3000"),
-            "Time after which an upstream that said it leaves is to get no more requests; the list is read often enough for that.",
+            "Time after which a draining upstream must get no more requests; the list is read often enough to ensure this.",
         ),
     ],
 };
@@ -154,11 +189,16 @@
     kind: "retries",
     named: false,
     required: false,
-    help: "The fleet's budget for sending requests again, of which each gateway takes its share; for each pool by itself.",
+    help: "The fleet's retry budget for each pool, of which each gateway uses its share.",
     keys: &[
-        Key::new("ratio", "number", Some("0.2"), "Second sends for each request."),
-        Key::new("slack", "number", Some("50"), "Second sends besides."),
-        Key::new("span_s", "number", Some("10"), "Seconds within which both are counted."),
+        Key::new("ratio", "number", Some("0.2"), "Retries per request."),
+        Key::new("slack", "number", Some("50"), "Retries allowed regardless of the number of requests."),
+        Key::new(
+            "span_s",
+            "number",
+            Some("10"),
+            "Window, in seconds, within which requests and retries are counted.",
+        ),
     ],
 };
 
@@ -166,12 +206,12 @@
     kind: "quarantine",
     named: false,
     required: false,
-    help: "Requests that are kept from upstreams since these crashed under them.",
+    help: "Requests that are not sent because upstreams crashed while processing them.",
     keys: &[Key::new(
         "released",
         "digests",
         Some(""),
-        "Requests, by the digests of the lines and of the page `/quarantine`, separated by commas: when the settings are read again, what is held against them until then is dropped, and the others are told.",
+        "Digests of requests to release, as shown in log lines and on the page `/quarantine`, separated by commas. When the settings are reloaded, the crashes recorded for these requests are cleared on all gateways.",
     )],
 };
 
@@ -179,14 +219,14 @@
     kind: "stop",
     named: false,
     required: false,
-    help: "Stopping after SIGTERM.",
+    help: "Graceful shutdown after SIGTERM.",
     keys: &[
-        Key::new("grace_s", "number", Some("8"), "Seconds after which the process is killed."),
+        Key::new("grace_s", "number", Some("8"), "Seconds between SIGTERM and the kill of the process."),
         Key::new(
             "accept_ms",
             "milliseconds",
             Some("2900"),
-            "How long callers that have not noticed are still served.",
+            "How long new requests are still served after SIGTERM.",
         ),
     ],
 };
