--- a/crates/bendhinge_gateway/src/settings/mod.rs
+++ b/crates/bendhinge_gateway/src/settings/mod.rs
@@ -35,9 +35,9 @@
     pub max_connections: usize,
     /// The box's network link.
     pub link: Link,
-    /// The platform's store.
+    /// Access to the platform's store.
     pub store: StoreSettings,
-    /// The other gateways.
+    /// Communication with the other gateways.
     pub fleet: FleetSettings,
     /// Validity of the serving rules.
     pub rules: RulesSettings,
@@ -77,7 +77,7 @@
     }
 }
 
-/// The platform's store.
+/// Access to the platform's store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreSettings {
     /// The store's address.
@@ -88,7 +88,7 @@
     pub read_timings: StoreReadTimings,
 }
 
-/// The other gateways.
+/// Communication with the other gateways.
 #[derive(Clone)]
 pub struct FleetSettings {
     /// The key that all gateways share.
@@ -179,7 +179,7 @@
 }
 
 /// Builds settings from a document. Each method reads all values before it returns on a missing one, so
-/// that a single run reports every fault.
+/// that all errors are reported at once.
 struct SettingsReader<'a>(&'a Document);
 
 impl SettingsReader<'_> {
