--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -62,7 +62,7 @@
     /// Interval while this gateway has no state to serve from, since requests wait or are refused
     /// until then.
     const BOOTSTRAP_INTERVAL: Duration = Duration::from_millis(100);
-    let configured = control.settings.fleet.exchange;
+    let configured = control.settings.fleet.exchange_interval;
     let interval = if is_bootstrapping(control) { configured.min(BOOTSTRAP_INTERVAL) } else { configured };
     interval.mul_f64(rand::rng().random_range(0.8..1.2))
 }
@@ -175,7 +175,7 @@
     let requested_at = bendhinge_clock::now();
     let message = compose_message(control, address, content, None, requested_at);
     let response = control.peers.call(address, async |peer| peer.exchange(&message).await).await;
-    control.delivering.metrics.exchange(response.is_ok());
+    control.delivering.metrics.count_exchange(response.is_ok());
     let Ok(response) = response else { return false };
     merge_message(control, &response, Some(requested_at));
     control.divide_shared_limits();
--- a/crates/bendhinge_gateway/src/control/fetching.rs
+++ b/crates/bendhinge_gateway/src/control/fetching.rs
@@ -18,7 +18,7 @@
 
 use super::ControlPlane;
 use crate::delivery::DeliveryContext;
-use crate::metrics::Believed;
+use crate::metrics::ReplicaKind;
 use crate::state::ActiveRules;
 
 /// State of the fetches of one value.
@@ -95,7 +95,8 @@
     async fn fetch_partial_list(&self, address: SocketAddr) {
         let requested_at = bendhinge_clock::now();
         let fetched = self.peers.call(address, async |peer| peer.list_part().await).await;
-        let partial_list = self.record_fetch(Believed::Upstreams, address, requested_at, fetched.map(Some));
+        let partial_list =
+            self.record_fetch(ReplicaKind::Upstreams, address, requested_at, fetched.map(Some));
         if let Some(partial_list) = partial_list {
             self.delivering.upstreams.apply_partial_list(Arc::new(partial_list));
         }
@@ -104,7 +105,8 @@
     async fn fetch_rules(self: &Rc<Self>, address: SocketAddr) {
         let requested_at = bendhinge_clock::now();
         let fetched = self.peers.call(address, async |peer| peer.rules().await).await;
-        if let Some((known, document)) = self.record_fetch(Believed::Rules, address, requested_at, fetched) {
+        if let Some((known, document)) = self.record_fetch(ReplicaKind::Rules, address, requested_at, fetched)
+        {
             self.update_rules(&known, requested_at, document, Origin::Peer);
         }
     }
@@ -122,7 +124,7 @@
     async fn fetch_list(self: &Rc<Self>, address: SocketAddr, base: Option<u64>) -> bool {
         let requested_at = bendhinge_clock::now();
         let fetched = self.peers.call(address, async |peer| peer.upstreams(base).await).await;
-        let fetched = self.record_fetch(Believed::Upstreams, address, requested_at, fetched);
+        let fetched = self.record_fetch(ReplicaKind::Upstreams, address, requested_at, fetched);
         let Some((known, update)) = fetched else { return true };
         let list = match update {
             ListUpdate::Full(list) => Some(list),
@@ -139,15 +141,15 @@
     /// Records the outcome of a fetch from the gateway at `source`, and returns the fetched value.
     fn record_fetch<T>(
         &self,
-        value: Believed,
+        value: ReplicaKind,
         source: SocketAddr,
         requested_at: Instant,
         fetched: Result<Option<T>, CallError>,
     ) -> Option<T> {
         let elapsed = bendhinge_clock::now().since(requested_at);
         let DeliveryContext { metrics, log, .. } = &*self.delivering;
-        metrics.peer_fetch(value, elapsed, fetched.is_ok());
-        fetched.inspect_err(|error| log.fetch_failed(value, source, elapsed, error)).ok().flatten()
+        metrics.record_peer_fetch(value, elapsed, fetched.is_ok());
+        fetched.inspect_err(|error| log.peer_fetch_failed(value, source, elapsed, error)).ok().flatten()
     }
 
     /// Updates the rules to a document that was current `known.age` before `requested_at`, and
@@ -175,7 +177,7 @@
         let rules = match self.delivering.dialect.parse_rules(&document) {
             Ok(rules) => rules,
             Err(error) => {
-                self.delivering.log.process("rules_refused", origin.as_str(), &error.to_string());
+                self.delivering.log.process_event("rules_refused", origin.as_str(), &error.to_string());
                 return UpdateOutcome::Stale;
             }
         };
@@ -185,7 +187,7 @@
             let age = bendhinge_clock::now().since(requested_at - known.age);
             // The log shows the revision of the document, which operators know the rules by.
             let logged_version = Version { revision: known.version.document(), ..known.version };
-            self.delivering.log.belief(Believed::Rules, logged_version, origin, age);
+            self.delivering.log.replica_updated(ReplicaKind::Rules, logged_version, origin, age);
         }
         outcome
     }
@@ -204,11 +206,11 @@
         let previously_drained = upstreams.list().map(|held| held.drained.clone()).unwrap_or_default();
         let outcome = upstreams.update(known.version, requested_at - known.age, list);
         if outcome == UpdateOutcome::Updated && drained != previously_drained {
-            log.drained(&drained, origin);
+            log.drained_data_centres_changed(&drained, origin);
         }
         if outcome == UpdateOutcome::Updated {
             let age = bendhinge_clock::now().since(requested_at - known.age);
-            log.belief(Believed::Upstreams, known.version, origin, age);
+            log.replica_updated(ReplicaKind::Upstreams, known.version, origin, age);
             self.delivering.quarantine.set_running_software(upstreams.software_hashes());
             self.spawn_push(origin);
         }
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -73,7 +73,7 @@
         builder.add_loads(&mut message);
         builder.add_reads(request, &mut message);
     }
-    control.delivering.metrics.told(&message);
+    control.delivering.metrics.count_sent_entries(&message);
     message
 }
 
@@ -117,7 +117,7 @@
             None => self.peer.and_then(|peer| peer.acknowledged),
         };
         let batch = delivering.upstreams.cache_updates_for(self.receiver, acknowledged, self.now);
-        delivering.metrics.reads_not_told(batch.dropped);
+        delivering.metrics.count_dropped_reads(batch.dropped);
         message.reads = batch.entries.into_iter().map(|read| observed_read(read, self.now)).collect();
         message.told = Some(LogPosition { incarnation: *incarnation, sequence: batch.last_sequence });
     }
@@ -144,7 +144,7 @@
     control.delivering.quarantine.merge_reported(&message.suspicions, sender_address, as_of);
     for upstream in upstreams.merge_suspicions(&message.doubts, sender_address, as_of) {
         control.delivering.log.upstream_suspected(&upstream.name, sender_address);
-        control.delivering.metrics.upstream_suspected();
+        control.delivering.metrics.count_suspected_upstream();
     }
     let Some(requested_at) = requested_at else { return };
     if let Some(known) = message.rules {
@@ -180,7 +180,7 @@
     /// Returns this gateway's report of itself.
     fn own_report(&self) -> MemberReport {
         MemberReport {
-            address: self.settings.peers,
+            address: self.settings.peer_address,
             age: Duration::ZERO,
             is_leaving: self.lifecycle.is_stopping(),
             is_store_failing: self.is_store_failing(),
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -72,14 +72,18 @@
         traffic: Arc<Traffic>,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
-        let roster =
-            Roster::new(settings.peers, settings.link.mbps(), &settings.fleet.seeds, settings.fleet.roster);
-        let limits = PeerPoolLimits { call: settings.fleet.call, pause: FAILED_CALL_BACKOFF };
-        let peers = PeerPool::new(settings.fleet.key.clone(), limits, traffic, Rc::clone(executor));
+        let roster = Roster::new(
+            settings.peer_address,
+            settings.link.mbps(),
+            &settings.fleet.seeds,
+            settings.fleet.roster_timeouts,
+        );
+        let limits = PeerPoolLimits { call: settings.fleet.call_timeout, pause: FAILED_CALL_BACKOFF };
+        let peers = PeerPool::new(settings.fleet.shared_key.clone(), limits, traffic, Rc::clone(executor));
         Rc::new(Self {
             roster: RefCell::new(roster),
-            list_reader: StoreReader::new("store", settings.list_reading()),
-            rules_reader: StoreReader::new("store_rules", settings.store.reading),
+            list_reader: StoreReader::new("store", settings.list_read_timings()),
+            rules_reader: StoreReader::new("store_rules", settings.store.read_timings),
             foreign_entries: RefCell::default(),
             has_combined_read_timed_out: Cell::new(false),
             is_history_lost: Cell::new(false),
@@ -101,7 +105,7 @@
     pub(crate) fn start(self: &Rc<Self>, listener: TcpListener, suspicions: Receiver<QuarantineChange>) {
         let serving = serve_fleet(
             listener,
-            self.settings.fleet.key.clone(),
+            self.settings.fleet.shared_key.clone(),
             Rc::new(PeerRequestHandler(Rc::clone(self))),
             Arc::clone(self.peers.traffic()),
             Rc::clone(&self.executor),
@@ -118,7 +122,7 @@
     /// Applies the reloadable part of changed settings.
     pub(crate) fn apply_settings(&self, settings: &Settings) {
         self.roster.borrow_mut().set_seeds(&settings.fleet.seeds);
-        self.delivering.quarantine.release(&settings.released);
+        self.delivering.quarantine.release(&settings.released_requests);
     }
 
     /// Divides the fleet-wide limits among the known gateways.
--- a/crates/bendhinge_gateway/src/control/pages.rs
+++ b/crates/bendhinge_gateway/src/control/pages.rs
@@ -197,7 +197,8 @@
         let known_revision = self.held_rules_revision();
         let dialect = &self.delivering.dialect;
         let may_include_large_rules = part == StorePart::Rules || self.awaits_initial_read();
-        let timeout = if may_include_large_rules { LARGE_RULES_TIMEOUT } else { self.settings.store.call };
+        let timeout =
+            if may_include_large_rules { LARGE_RULES_TIMEOUT } else { self.settings.store.call_timeout };
         let body = self.fetch_from_store(&dialect.page_path(part, after), timeout).await?;
         Ok(dialect.parse_page(&body, known_revision)?)
     }
@@ -208,7 +209,7 @@
         let request = request
             .body(empty_body())
             .map_err(|error| ParseError::new("the path of the store request", &error))?;
-        let time = FetchTime { silence: store.call, whole };
+        let time = FetchTime { silence: store.call_timeout, whole };
         let fetched: Fetched =
             fetch(&self.delivering.connection_pool, store.address, request, MAX_PAGE_BYTES, time).await?;
         if fetched.status != StatusCode::OK {
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -82,7 +82,7 @@
         );
         for contact in contacts {
             if let Some(parts) = self.recover_from_peer(contact.address()).await {
-                self.delivering.log.recovered("peer", contact.address(), parts);
+                self.delivering.log.cached_parts_recovered("peer", contact.address(), parts);
                 return true;
             }
         }
@@ -123,7 +123,7 @@
         self.executor.spawn(async move {
             let reads = control.query_cached_parts(&upstream).await;
             control.delivering.upstreams.restore_reads(&reads);
-            control.delivering.log.recovered("upstream", upstream.address, reads.len());
+            control.delivering.log.cached_parts_recovered("upstream", upstream.address, reads.len());
         })
     }
 
--- a/crates/bendhinge_gateway/src/control/store.rs
+++ b/crates/bendhinge_gateway/src/control/store.rs
@@ -96,7 +96,7 @@
             None => self.read_part(part).await,
         };
         let now = bendhinge_clock::now();
-        self.delivering.metrics.store_read(now.since(start), outcome.is_ok());
+        self.delivering.metrics.record_store_read(now.since(start), outcome.is_ok());
         match outcome {
             Ok(outcome) => {
                 reader.schedule.borrow_mut().record_success(now);
@@ -196,7 +196,7 @@
             return Duration::ZERO;
         }
         let length = self.delivering.rules.current().map_or(0, |current| current.document.len());
-        self.settings.link.time_for(length as f64 * BASE64_GROWTH)
+        self.settings.link.transfer_time(length as f64 * BASE64_GROWTH)
     }
 
     /// Returns the time until the next read of the list of upstreams.
@@ -244,7 +244,7 @@
     /// Logs that the store became available or unavailable.
     fn log_store_state(&self, reader: &StoreReader, is_available: bool, detail: &str) {
         if reader.is_available.replace(Some(is_available)) != Some(is_available) {
-            self.delivering.log.dependency(reader.dependency, is_available, detail);
+            self.delivering.log.dependency_changed(reader.dependency, is_available, detail);
         }
     }
 
@@ -253,14 +253,14 @@
         /// Maximum number of log lines for added entries, and for removed ones, per read.
         const MAX_LOG_LINES: usize = 16;
         let DeliveryContext { log, metrics, .. } = &*self.delivering;
-        metrics.foreign_entries(foreign.len());
+        metrics.record_foreign_entries(foreign.len());
         let previous = self.foreign_entries.replace(foreign.clone());
         for added in foreign.difference(&previous).take(MAX_LOG_LINES) {
-            log.foreign_entry(&added.key, Some(&added.reason));
+            log.foreign_entry_changed(&added.key, Some(&added.reason));
         }
         let is_removed = |removed: &&ForeignEntry| !foreign.iter().any(|entry| entry.key == removed.key);
         for removed in previous.iter().filter(is_removed).take(MAX_LOG_LINES) {
-            log.foreign_entry(&removed.key, None);
+            log.foreign_entry_changed(&removed.key, None);
         }
     }
 
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -327,12 +327,12 @@
     ) {
         if let Some(requested_backoff) = availability.backoff {
             let effective_backoff = self.upstreams.record_backoff(upstream.hash, requested_backoff);
-            self.metrics.rest_asked();
-            self.log.rest_asked(request_id, &upstream.name, requested_backoff, effective_backoff);
+            self.metrics.count_backoff_request();
+            self.log.backoff_requested(request_id, &upstream.name, requested_backoff, effective_backoff);
         }
         if availability.is_leaving && self.upstreams.record_leaving(upstream.hash) {
-            self.metrics.leaving_said();
-            self.log.leaving_said(request_id, &upstream.name);
+            self.metrics.count_drain_announcement();
+            self.log.drain_announced(request_id, &upstream.name);
         }
     }
 
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -33,7 +33,7 @@
 use crate::intake::Refusal;
 use crate::intake::headers;
 use crate::lifecycle::InProgress;
-use crate::log::{Log, RequestLine};
+use crate::log::{Log, RequestLogEntry};
 use crate::metrics::Metrics;
 use crate::pacing::Pacing;
 use crate::quarantine::{SendRefusal, SharedQuarantine, TrackedSend};
@@ -170,12 +170,12 @@
     {
         return Err(Refusal::with_retry_after(ResultCode::AllUpstreamsAtBound, retry_after));
     }
-    context.metrics.request();
+    context.metrics.count_request();
     let course = Course::new(bendhinge_delivery::CourseRules {
         repeatable: inbound.route.kind.is_retryable(),
         attempts: inbound.route.max_attempts,
     });
-    let log_line = RequestLine::new(&inbound);
+    let log_line = RequestLogEntry::new(&inbound);
     let inbound = Arc::new(inbound);
     let mut delivery = Delivery {
         context: Arc::clone(context),
@@ -190,11 +190,11 @@
         Ok(response) => Ok(delivery.into_response(response, in_progress)),
         Err(DeliveryError::ErrorResponse(response)) => Ok(delivery.error_response(*response)),
         Err(DeliveryError::RetryLater { code, retry_after }) => {
-            delivery.log_line.ended(&context.log, code.http_status(), Some(code), &delivery.course);
+            delivery.log_line.write_answered(&context.log, code.http_status(), Some(code), &delivery.course);
             Err(Refusal { was_sent: true, ..Refusal::with_retry_after(code, retry_after) })
         }
         Err(DeliveryError::Code(code)) => {
-            delivery.log_line.ended(&context.log, code.http_status(), Some(code), &delivery.course);
+            delivery.log_line.write_answered(&context.log, code.http_status(), Some(code), &delivery.course);
             // Right after the start, the first upstream list is expected within moments.
             let awaits_next_list = code == ResultCode::NoUpstream && context.upstreams.has_list();
             let retry_after = awaits_next_list.then(delay_until_next_list);
@@ -231,7 +231,7 @@
     /// Whether requests to the pool are paced.
     is_paced: bool,
     tried_upstreams: Vec<NameHash>,
-    log_line: RequestLine,
+    log_line: RequestLogEntry,
 }
 
 impl Delivery {
@@ -243,7 +243,9 @@
                 Ok(response) => {
                     self.context.upstreams.record_response(response.chosen.entry.hash);
                     self.record_response();
-                    self.context.metrics.first_byte(bendhinge_clock::now().since(self.inbound.received_at));
+                    self.context
+                        .metrics
+                        .record_first_byte(bendhinge_clock::now().since(self.inbound.received_at));
                     return Ok(response);
                 }
                 Err(failed) => self.handle_failure(failed)?,
@@ -265,8 +267,8 @@
         let tracked = self.track_send()?;
         let chosen = self.choose_upstream(may_probe)?;
         self.tried_upstreams.push(chosen.entry.hash);
-        let number = self.log_line.sent(&chosen);
-        self.context.metrics.list_age(chosen.list_age);
+        let number = self.log_line.record_send(&chosen);
+        self.context.metrics.record_list_age(chosen.list_age);
         let record = SendRecord::new(number, &chosen, tracked);
         let params = AttemptParams {
             record: record.clone(),
@@ -329,7 +331,7 @@
         match self.context.quarantine.begin_send(digest) {
             Ok(tracked) => Ok(tracked.map(Arc::new)),
             Err(refusal) => {
-                self.log_line.same_as(digest);
+                self.log_line.set_digest(digest);
                 Err(self.retry_later(refusal.code, refusal.retry_after))
             }
         }
@@ -378,8 +380,8 @@
     fn record_send_end(&mut self, record: &SendRecord, end: SendEnd) -> bool {
         let DeliveryContext { upstreams, metrics, log, .. } = &*self.context;
         let SendRecord { number, upstream, started_at, .. } = record;
-        self.log_line.send_ended(*number, end);
-        metrics.send_ended(end);
+        self.log_line.record_send_end(*number, end);
+        metrics.count_send_end(end);
         match end {
             SendEnd::Rejected if self.is_paced => {
                 let upstream_count = upstreams.count_accepting_work(&self.inbound.pool);
@@ -390,7 +392,7 @@
                 self.record_complete_response();
             }
             SendEnd::Lost => {
-                self.log_line.same_as(self.inbound.digest(&self.context.identity_key));
+                self.log_line.set_digest(self.inbound.digest(&self.context.identity_key));
                 detect_crash(&self.context, &self.inbound, record.clone());
             }
             _ => {}
@@ -398,7 +400,7 @@
         if upstream_failure(end)
             .is_some_and(|failure| upstreams.record_failure(upstream.hash, failure, *started_at))
         {
-            log.upstream_rests(&upstream.name, end);
+            log.upstream_ejected(&upstream.name, end);
         }
         self.course.ended(end)
     }
@@ -442,7 +444,7 @@
 
     fn error_response(&mut self, response: ErrorResponse) -> Response<Body> {
         let ErrorResponse { mut head, body } = response;
-        self.log_line.ended(&self.context.log, head.status.as_u16(), None, &self.course);
+        self.log_line.write_answered(&self.context.log, head.status.as_u16(), None, &self.course);
         headers::prepare_for_caller(&mut head.headers);
         Response::from_parts(head, full_body(body))
     }
@@ -454,7 +456,7 @@
         match body {
             UpstreamBody::Complete(bytes) => {
                 self.record_complete_response();
-                self.log_line.ended(&self.context.log, head.status.as_u16(), None, &self.course);
+                self.log_line.write_answered(&self.context.log, head.status.as_u16(), None, &self.course);
                 Response::from_parts(head, full_body(bytes))
             }
             UpstreamBody::Stream(body, connection) => {
--- a/crates/bendhinge_gateway/src/delivery/relay.rs
+++ b/crates/bendhinge_gateway/src/delivery/relay.rs
@@ -114,7 +114,7 @@
         }
         self.delivery.record_complete_response();
         let Delivery { log_line, context, course, .. } = &mut self.delivery;
-        log_line.ended(&context.log, 200, None, course);
+        log_line.write_answered(&context.log, 200, None, course);
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
@@ -146,7 +146,7 @@
         self.is_finished = true;
         self.source = None;
         let Delivery { log_line, context, course, .. } = &mut self.delivery;
-        log_line.ended(&context.log, 200, Some(ResultCode::AnswerCutShort), course);
+        log_line.write_answered(&context.log, 200, Some(ResultCode::AnswerCutShort), course);
         io::Error::other("the upstream's event stream was interrupted")
     }
 }
@@ -155,7 +155,7 @@
     fn drop(&mut self) {
         if !self.is_finished {
             let Delivery { log_line, context, course, .. } = &mut self.delivery;
-            log_line.caller_left(&context.log, course);
+            log_line.write_caller_left(&context.log, course);
         }
     }
 }
--- a/crates/bendhinge_gateway/src/intake/mod.rs
+++ b/crates/bendhinge_gateway/src/intake/mod.rs
@@ -102,7 +102,7 @@
         received_at: Instant,
     ) -> Result<Response<Body>, Refusal> {
         validate_head(&head)?;
-        if !self.lifecycle.takes_requests() {
+        if !self.lifecycle.accepts_requests() {
             return Err(ResultCode::RouterStopping.into());
         }
         let tie_breaker = rand::rng().random();
@@ -113,7 +113,7 @@
             return Err(ResultCode::ViewNotFresh.into());
         }
         drop(current);
-        let in_progress = self.lifecycle.begin();
+        let in_progress = self.lifecycle.begin_request();
         let deadline = received_at
             + fields
                 .timeout
@@ -140,12 +140,12 @@
     fn refuse(&self, id: Option<&HeaderValue>, refusal: Refusal) -> Response<Body> {
         let Refusal { code, was_sent, retry_after, digest } = refusal;
         let context = &self.context;
-        context.metrics.result(code);
+        context.metrics.count_result(code);
         let retry_after = retry_after.or_else(|| code.invites_retry().then(default_retry_after));
         if !was_sent {
             let rules_age = context.rules.age(bendhinge_clock::now());
             let id = id.and_then(|id| id.to_str().ok()).unwrap_or_default();
-            context.log.refused(id, code, digest, rules_age, retry_after);
+            context.log.request_refused(id, code, digest, rules_age, retry_after);
         }
         let mut response = Response::new(full_body(Bytes::new()));
         *response.status_mut() =
--- a/crates/bendhinge_gateway/src/pacing.rs
+++ b/crates/bendhinge_gateway/src/pacing.rs
@@ -57,7 +57,7 @@
         let rate_limit = pacer.rate_limit();
         drop(pacers);
         if rate_limit.is_some() != was_limited {
-            self.log.pace(pool, rate_limit);
+            self.log.rate_limit_changed(pool, rate_limit);
         }
         result
     }
--- a/crates/bendhinge_gateway/src/quarantine.rs
+++ b/crates/bendhinge_gateway/src/quarantine.rs
@@ -152,7 +152,7 @@
         let crashes = state.crash_count(request);
         drop(state);
         if is_new {
-            self.log.crash(request_id, request, &upstream.name, crashes);
+            self.log.upstream_crashed(request_id, request, &upstream.name, crashes);
             self.notify(Origin::Store, crashes);
         }
     }
@@ -175,7 +175,7 @@
         let was_cleared = state.record_response(request, bendhinge_clock::now());
         drop(state);
         if was_cleared {
-            self.log.suspicion_over(request, reason, crashes);
+            self.log.suspicion_cleared(request, reason, crashes);
             self.notify(Origin::Store, crashes);
         }
     }
@@ -194,7 +194,7 @@
                 max_crashes = max_crashes.max(Some(crashes.max(previous_crashes)));
             }
             if crashes != previous_crashes && crashes.max(previous_crashes) >= REPORTING_THRESHOLD {
-                self.log.suspicion_heard(reported.request, crashes, from);
+                self.log.suspicion_received(reported.request, crashes, from);
             }
         }
         if let Some(crashes) = max_crashes {
--- a/crates/bendhinge_gateway/src/ready.rs
+++ b/crates/bendhinge_gateway/src/ready.rs
@@ -10,7 +10,7 @@
 
 use crate::delivery::DeliveryContext;
 use crate::lifecycle::Lifecycle;
-use crate::metrics::MeasuredNow;
+use crate::metrics::GaugeValues;
 
 /// How long after the end of their lease the rules may be unconfirmed before the router reports that it is
 /// not ready.
@@ -38,20 +38,20 @@
             && self.context.upstreams.has_list_or_partial()
     }
 
-    fn measured_now(&self) -> MeasuredNow {
-        MeasuredNow {
+    fn measured_now(&self) -> GaugeValues {
+        GaugeValues {
             in_progress: self.lifecycle.in_progress(),
             rules_age: self.context.rules.age(bendhinge_clock::now()),
             peer_connections: self.traffic.open_connections(),
             peer_sent_bytes: self.traffic.sent_bytes(),
-            quarantined: self.context.quarantine.quarantined_count(),
-            upstreams_resting: self.context.upstreams.backoff_count(),
+            quarantined_requests: self.context.quarantine.quarantined_count(),
+            upstreams_in_backoff: self.context.upstreams.backoff_count(),
         }
     }
 
     pub(crate) fn handle(&self, request: &Request<Incoming>) -> Response<Body> {
         if request.uri().path() == METRICS_PATH {
-            return Response::new(full_body(self.context.metrics.text(&self.measured_now())));
+            return Response::new(full_body(self.context.metrics.encode_text(&self.measured_now())));
         }
         if request.uri().path() == QUARANTINE_PATH {
             return Response::new(full_body(self.context.quarantine.to_json()));
--- a/crates/bendhinge_gateway/src/state/rules.rs
+++ b/crates/bendhinge_gateway/src/state/rules.rs
@@ -13,7 +13,7 @@
 use smol::Timer;
 use smol::channel::{Receiver, Sender, bounded};
 
-use crate::settings::BeliefSettings;
+use crate::settings::RulesSettings;
 
 /// Serving rules with the document that they were parsed from.
 #[derive(Debug)]
@@ -35,12 +35,12 @@
 
 impl RulesReplica {
     /// Creates an empty replica.
-    pub(crate) fn new(limits: BeliefSettings) -> Self {
-        let initial_wait_end = bendhinge_clock::now() + limits.first_rules;
+    pub(crate) fn new(limits: RulesSettings) -> Self {
+        let initial_wait_end = bendhinge_clock::now() + limits.startup_wait;
         let (first_sender, first_receiver) = bounded(1);
         Self {
             replica: Mutex::default(),
-            lease: limits.rules_lease,
+            lease: limits.lease,
             initial_wait_end,
             first_sender,
             first_receiver,
--- a/crates/bendhinge_gateway/src/state/upstreams.rs
+++ b/crates/bendhinge_gateway/src/state/upstreams.rs
@@ -116,8 +116,8 @@
         let state = State {
             replica: Replica::default(),
             partial_list: None,
-            directory: Directory::new(settings.directory),
-            outlier_detector: OutlierDetector::new(settings.judge),
+            directory: Directory::new(settings.directory_limits),
+            outlier_detector: OutlierDetector::new(settings.outlier_limits),
             backoffs: RequestedBackoffs::default(),
             failure_detector: FailureDetector::new(address_hash(own_address)),
             loads: Loads::default(),
@@ -127,7 +127,7 @@
             demand: FxHashMap::default(),
             gateway_count: None,
         };
-        let costs = CostModel { load_bound_factor: settings.load_bound, ..CostModel::default() };
+        let costs = CostModel { load_bound_factor: settings.load_bound_factor, ..CostModel::default() };
         Self { state: Mutex::new(state), costs, regions }
     }
 
