--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{Contact, ListUpdate, Origin, Reach, UpstreamList};
-use bendhinge_peer::{FleetDuties, Known, ObservedRead, PeerMessage, ReadsPage};
+use bendhinge_peer::{CachedPartsPage, FleetService, HeldVersion, ObservedCachedPart, PeerMessage};
 use bytes::Bytes;
 use futures_lite::FutureExt;
 use rand::Rng;
@@ -48,7 +48,7 @@
         }
         round = round.wrapping_add(1);
         Timer::after(period(&control)).await;
-        control.peers.drop_unused(CONNECTIONS_KEPT);
+        control.peers.close_idle(CONNECTIONS_KEPT);
     }
 }
 
@@ -170,7 +170,7 @@
     fn is_much_fresher(&self, message: &PeerMessage) -> bool {
         // Only knowledge that ends the want of it counts: were a little fresher enough, news
         // of it would go round and round while nobody reaches the store.
-        let is_fresher = |told: Option<Known>, held: Option<Known>, lost: Duration| {
+        let is_fresher = |told: Option<HeldVersion>, held: Option<HeldVersion>, lost: Duration| {
             told.zip(held).is_some_and(|(told, held)| {
                 told.version == held.version && held.age > lost && told.age < lost
             })
@@ -185,14 +185,14 @@
     /// Notes what the gateway at `address` was told by `message`, and up to where it was heard by `answer`.
     fn note_answer(&self, address: SocketAddr, message: &PeerMessage, answer: &PeerMessage) {
         let mut peers = self.peer_states.borrow_mut();
-        if let Some(told) = message.told {
+        if let Some(told) = message.sent_position {
             peers.record_acknowledged(
                 address,
-                answer.told.map(|position| position.incarnation),
+                answer.sent_position.map(|position| position.incarnation),
                 told.sequence,
             );
         }
-        if let Some(told) = answer.told {
+        if let Some(told) = answer.sent_position {
             peers.record_received(address, told);
         }
     }
@@ -207,19 +207,19 @@
 /// What this gateway answers to its peers.
 pub(super) struct Duties(pub(super) Rc<Control>);
 
-impl FleetDuties for Duties {
+impl FleetService for Duties {
     fn exchange(&self, message: PeerMessage) -> PeerMessage {
         take_in(&self.0, &message, None);
         let control = Rc::clone(&self.0);
         let address = message.sender.address;
         let delivering = &self.0.delivering;
         let is_fresher = control.is_much_fresher(&message);
-        let has_news = message.is_begun && !delivering.upstreams.is_begun()
+        let has_news = message.has_partial_list && !delivering.upstreams.is_begun()
             || message.rules.is_some_and(|known| delivering.rules.lacks(known.version))
             || message.upstreams.is_some_and(|known| delivering.upstreams.lacks(known.version));
         let now = bendhinge_clock::now();
         let content = match &message {
-            message if message.is_brief => Content::Brief,
+            message if message.is_announcement => Content::Brief,
             message if message.is_probe => Content::Members,
             _ => Content::Whole,
         };
@@ -239,25 +239,25 @@
         answer
     }
 
-    fn rules(&self) -> Option<(Known, Bytes)> {
+    fn rules(&self) -> Option<(HeldVersion, Bytes)> {
         let rules = &self.0.delivering.rules;
         let known = rules.known(bendhinge_clock::now())?;
         Some((known, rules.current()?.document.clone()))
     }
 
-    fn reads(&self, page: ReadsPage) -> Option<Vec<ObservedRead>> {
+    fn cached_parts(&self, page: CachedPartsPage) -> Option<Vec<ObservedCachedPart>> {
         self.0.is_informed.get().then(|| self.0.delivering.upstreams.all_reads(page, bendhinge_clock::now()))
     }
 
-    fn list(&self, digest: u64) -> Option<Arc<UpstreamList>> {
+    fn recent_list(&self, digest: u64) -> Option<Arc<UpstreamList>> {
         self.0.delivering.upstreams.held_lately(digest)
     }
 
-    fn list_part(&self) -> Option<Arc<UpstreamList>> {
+    fn partial_list(&self) -> Option<Arc<UpstreamList>> {
         self.0.delivering.upstreams.part()
     }
 
-    fn upstreams(&self, base: Option<u64>) -> Option<(Known, ListUpdate)> {
+    fn upstreams(&self, base: Option<u64>) -> Option<(HeldVersion, ListUpdate)> {
         let upstreams = &self.0.delivering.upstreams;
         let known = upstreams.known(bendhinge_clock::now())?;
         Some((known, upstreams.list_to_tell(base)?))
--- a/crates/bendhinge_gateway/src/control/fetching.rs
+++ b/crates/bendhinge_gateway/src/control/fetching.rs
@@ -12,7 +12,7 @@
 
 use bendhinge_fleet::{FetchPlan, FetchSource, ListUpdate, Origin, UpdateOutcome, UpstreamList, Version};
 use bendhinge_ids::Instant;
-use bendhinge_peer::{CallError, Known, PeerMessage};
+use bendhinge_peer::{CallError, HeldVersion, PeerMessage};
 use bytes::Bytes;
 use futures_lite::future::zip;
 
@@ -60,7 +60,7 @@
     /// Fetches what the gateway at `address` holds and this one lacks, as its `message` says.
     pub(super) async fn fetch_news(self: &Rc<Self>, address: SocketAddr, message: &PeerMessage) {
         let Delivering { rules, upstreams, .. } = &*self.delivering;
-        let holder = |known: Known| FetchSource { address, version: known.version };
+        let holder = |known: HeldVersion| FetchSource { address, version: known.version };
         let list = async {
             if let Some(holder) = message.upstreams.map(holder) {
                 let lacks = |version| upstreams.lacks(version);
@@ -76,7 +76,7 @@
             }
         };
         let part = async {
-            if message.is_begun {
+            if message.has_partial_list {
                 // Any part will do: they have no versions.
                 let holder = FetchSource { address, version: Version::default() };
                 let lacks = |_| !upstreams.is_begun();
@@ -90,7 +90,7 @@
     /// Begins with the part of a list with which the gateway at `address` has begun.
     async fn fetch_part(&self, address: SocketAddr) {
         let asked = bendhinge_clock::now();
-        let fetched = self.peers.call(address, async |peer| peer.list_part().await).await;
+        let fetched = self.peers.call(address, async |peer| peer.partial_list().await).await;
         let part = self.note_fetch(Believed::Upstreams, address, asked, fetched.map(Some));
         if let Some(part) = part {
             self.delivering.upstreams.begin_with(Arc::new(part));
@@ -146,7 +146,13 @@
     }
 
     /// Takes a document of rules that was known to be current `known.age` before `asked`.
-    pub(super) fn take_rules(self: &Rc<Self>, known: &Known, asked: Instant, document: Bytes, from: Origin) {
+    pub(super) fn take_rules(
+        self: &Rc<Self>,
+        known: &HeldVersion,
+        asked: Instant,
+        document: Bytes,
+        from: Origin,
+    ) {
         if self.hold_rules(known, asked, document, from) == UpdateOutcome::Updated {
             self.spread(from);
         }
@@ -155,7 +161,7 @@
     /// The same, without telling others.
     pub(super) fn hold_rules(
         &self,
-        known: &Known,
+        known: &HeldVersion,
         asked: Instant,
         document: Bytes,
         from: Origin,
@@ -181,7 +187,7 @@
     /// Takes a list of upstreams that was known to be current `known.age` before `asked`.
     pub(super) fn take_upstreams(
         self: &Rc<Self>,
-        known: &Known,
+        known: &HeldVersion,
         asked: Instant,
         list: UpstreamList,
         from: Origin,
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -43,22 +43,22 @@
 ) -> PeerMessage {
     let peer = control.peer_states.borrow().get(listener).copied();
     let mut message = PeerMessage {
-        is_brief: matches!(content, Content::Brief | Content::Urgent { .. }),
+        is_announcement: matches!(content, Content::Brief | Content::Urgent { .. }),
         is_probe: content == Content::Probe,
         rules: control.delivering.rules.known(now),
         upstreams: control.delivering.upstreams.known(now),
-        is_begun: control.delivering.upstreams.part().is_some(),
-        roster: control.roster.borrow().digest(),
-        told: Some(LogPosition { incarnation: control.life, sequence: 0 }),
-        heard: peer.and_then(|peer| peer.received),
-        quarantine: control.delivering.quarantine.digest(),
+        has_partial_list: control.delivering.upstreams.part().is_some(),
+        roster_digest: control.roster.borrow().digest(),
+        sent_position: Some(LogPosition { incarnation: control.life, sequence: 0 }),
+        received_position: peer.and_then(|peer| peer.received),
+        quarantine_digest: control.delivering.quarantine.digest(),
         ..PeerMessage::from_sender(control.sender())
     };
     let quarantine = &control.delivering.quarantine;
     if let Content::Urgent { since, tells_on } = content {
-        message.suspicions = quarantine.changes(listener, since, tells_on, now);
+        message.crash_histories = quarantine.changes(listener, since, tells_on, now);
     }
-    if message.is_brief {
+    if message.is_announcement {
         return message;
     }
     let telling = Telling { control, listener, peer, now };
@@ -67,8 +67,8 @@
     }
     if content == Content::Whole {
         let known = peer.map_or(0, |peer| peer.summary.quarantine_digest);
-        message.suspicions = quarantine.that_differs(known, now);
-        message.doubts = control.delivering.upstreams.doubts_to_tell(listener, now);
+        message.crash_histories = quarantine.that_differs(known, now);
+        message.failure_evidence = control.delivering.upstreams.doubts_to_tell(listener, now);
         telling.loads(&mut message);
         telling.reads(question, &mut message);
     }
@@ -87,7 +87,7 @@
 impl Telling<'_> {
     fn members(&self, message: &mut PeerMessage) {
         let roster = self.control.roster.borrow();
-        if self.peer.is_some_and(|peer| peer.summary.roster_digest == message.roster) {
+        if self.peer.is_some_and(|peer| peer.summary.roster_digest == message.roster_digest) {
             message.member_states = Some(roster.states_for(self.listener, self.now));
         } else {
             message.members = roster.members(self.now).collect();
@@ -110,15 +110,16 @@
         let Control { delivering, life, .. } = self.control;
         let told = match question {
             // Who asks knows best what reached it.
-            Some(question) => {
-                question.heard.filter(|heard| heard.incarnation == *life).map(|heard| heard.sequence)
-            }
+            Some(question) => question
+                .received_position
+                .filter(|heard| heard.incarnation == *life)
+                .map(|heard| heard.sequence),
             None => self.peer.and_then(|peer| peer.acknowledged),
         };
         let news = delivering.upstreams.reads_to_tell(self.listener, told, self.now);
         delivering.metrics.reads_not_told(news.dropped);
-        message.reads = news.entries.into_iter().map(|kept| observed_read(kept, self.now)).collect();
-        message.told = Some(LogPosition { incarnation: *life, sequence: news.last_sequence });
+        message.cached_parts = news.entries.into_iter().map(|kept| observed_read(kept, self.now)).collect();
+        message.sent_position = Some(LogPosition { incarnation: *life, sequence: news.last_sequence });
     }
 }
 
@@ -133,13 +134,13 @@
     // Of what only guides choices, a message that nobody asked for tells as much: it may be older than
     // it says by the time that it was on its way.
     let as_of = asked.unwrap_or(now);
-    upstreams.hear_reads(&message.reads, from, as_of);
+    upstreams.hear_reads(&message.cached_parts, from, as_of);
     upstreams.hear_loads(&message.loads, from, as_of);
     if let (Some(told), Some(known)) = (&message.list_loads, message.upstreams) {
         upstreams.hear_list_loads(told, known.version, from, as_of);
     }
-    control.delivering.quarantine.hear(&message.suspicions, from, as_of);
-    for upstream in upstreams.hear_doubts(&message.doubts, from, as_of) {
+    control.delivering.quarantine.hear(&message.crash_histories, from, as_of);
+    for upstream in upstreams.hear_doubts(&message.failure_evidence, from, as_of) {
         control.delivering.log.upstream_suspected(&upstream.name, from);
         control.delivering.metrics.upstream_suspected();
     }
@@ -159,17 +160,18 @@
     for heard in &message.members {
         roster.merge_reported(heard, from, now);
     }
-    if let Some(states) = message.member_states.as_ref().filter(|_| message.roster == roster.digest()) {
+    if let Some(states) = message.member_states.as_ref().filter(|_| message.roster_digest == roster.digest())
+    {
         roster.merge_states(states, from, now);
     }
 }
 
 fn said_by(message: &PeerMessage) -> PeerSummary {
     PeerSummary {
-        incarnation: message.told.map(|told| told.incarnation),
-        roster_digest: message.roster,
+        incarnation: message.sent_position.map(|told| told.incarnation),
+        roster_digest: message.roster_digest,
         upstream_list_digest: message.upstreams.map(|known| known.version.digest),
-        quarantine_digest: message.quarantine,
+        quarantine_digest: message.quarantine_digest,
     }
 }
 
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{Origin, PeerStates, Roster, RouterIncarnation};
-use bendhinge_peer::{FleetClient, PeerPool, PeerPoolLimits, Traffic, serve_fleet};
+use bendhinge_peer::{FleetClient, PeerPool, PeerPoolTimeouts, TrafficCounters, serve_fleet};
 use rand::Rng;
 use smol::channel::Receiver;
 use smol::net::TcpListener;
@@ -66,12 +66,12 @@
         settings: Settings,
         delivering: Arc<Delivering>,
         lifecycle: Arc<Lifecycle>,
-        traffic: Arc<Traffic>,
+        traffic: Arc<TrafficCounters>,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
         let roster =
             Roster::new(settings.peers, settings.link.mbps(), &settings.fleet.seeds, settings.fleet.roster);
-        let limits = PeerPoolLimits { call: settings.fleet.call, pause: PAUSE_AFTER_FAILURE };
+        let limits = PeerPoolTimeouts { call: settings.fleet.call, backoff: PAUSE_AFTER_FAILURE };
         let peers = PeerPool::new(settings.fleet.key.clone(), limits, traffic, Rc::clone(executor));
         Rc::new(Self {
             roster: RefCell::new(roster),
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -11,7 +11,7 @@
 };
 use bendhinge_http::{Fetched, fetch_path};
 use bendhinge_ids::Instant;
-use bendhinge_peer::{ObservedRead, ReadsPage};
+use bendhinge_peer::{CachedPartsPage, ObservedCachedPart};
 use hyper::StatusCode;
 use smol::{Task, Timer};
 
@@ -95,8 +95,8 @@
     async fn learn_from_peer(&self, address: SocketAddr) -> Option<usize> {
         let mut parts = 0;
         for index in 0..PAGES {
-            let page = ReadsPage { index, count: PAGES };
-            let reads = self.peers.call(address, async |peer| peer.reads(page).await).await;
+            let page = CachedPartsPage { index, count: PAGES };
+            let reads = self.peers.call(address, async |peer| peer.cached_parts(page).await).await;
             let reads = reads.ok()??;
             self.delivering.upstreams.recover_reads(&reads);
             parts += reads.len();
@@ -126,7 +126,7 @@
         })
     }
 
-    async fn listed_by(&self, upstream: &UpstreamEntry) -> Vec<ObservedRead> {
+    async fn listed_by(&self, upstream: &UpstreamEntry) -> Vec<ObservedCachedPart> {
         let dialect = &self.delivering.dialect;
         let pool = &self.delivering.pool;
         let fetched = fetch_path(pool, upstream.address, dialect.kept_path(), LIST_TIME).await;
@@ -139,7 +139,7 @@
         let parts = dialect.read_kept(&body).unwrap_or_default();
         let worth_it = parts.into_iter().filter(|part| part.tokens >= LEAST_TOKENS);
         worth_it
-            .map(|part| ObservedRead { part: part.id, upstream: upstream.hash, age: Duration::ZERO })
+            .map(|part| ObservedCachedPart { part: part.id, upstream: upstream.hash, age: Duration::ZERO })
             .collect()
     }
 }
--- a/crates/bendhinge_gateway/src/control/store.rs
+++ b/crates/bendhinge_gateway/src/control/store.rs
@@ -8,7 +8,7 @@
 
 use bendhinge_fleet::{Origin, Revision, StoreReadSchedule, StoreReadTimings, UpstreamList, Version};
 use bendhinge_ids::{DataCentreName, Instant};
-use bendhinge_peer::Known;
+use bendhinge_peer::HeldVersion;
 use smol::Timer;
 
 use super::Control;
@@ -319,8 +319,8 @@
 }
 
 /// A version that was current when the read of it began.
-const fn just_read(version: Version) -> Known {
-    Known { version, age: Duration::ZERO }
+const fn just_read(version: Version) -> HeldVersion {
+    HeldVersion { version, age: Duration::ZERO }
 }
 
 /// From which age on a belief counts as lost.
--- a/crates/bendhinge_gateway/src/knowledge/peers.rs
+++ b/crates/bendhinge_gateway/src/knowledge/peers.rs
@@ -8,24 +8,24 @@
     UpstreamLoad, Version,
 };
 use bendhinge_ids::{Instant, NameHash};
-use bendhinge_peer::{ObservedDoubt, ObservedLoad, ObservedRead, ReadsPage};
+use bendhinge_peer::{CachedPartsPage, ObservedCachedPart, ObservedFailureEvidence, ObservedLoad};
 use bendhinge_placement::CachedPart;
 
 use super::upstreams::{State, UpstreamView};
 
 impl UpstreamView {
     /// What to tell the gateway at `listener` of upstreams that failed lately.
-    pub(crate) fn doubts_to_tell(&self, listener: SocketAddr, now: Instant) -> Vec<ObservedDoubt> {
+    pub(crate) fn doubts_to_tell(&self, listener: SocketAddr, now: Instant) -> Vec<ObservedFailureEvidence> {
         let state = self.state.lock().unwrap();
         let doubts = state.evidence.changes_for(learned_from(listener), now);
-        doubts.map(|(upstream, doubt)| ObservedDoubt::of(upstream, doubt, now)).collect()
+        doubts.map(|(upstream, doubt)| ObservedFailureEvidence::new(upstream, doubt, now)).collect()
     }
 
     /// Takes in what the gateway at `from` knows of upstreams that failed, as of `as_of`; gives those that
     /// rest because of it.
     pub(crate) fn hear_doubts(
         &self,
-        doubts: &[ObservedDoubt],
+        doubts: &[ObservedFailureEvidence],
         from: SocketAddr,
         as_of: Instant,
     ) -> Vec<Arc<UpstreamEntry>> {
@@ -34,7 +34,7 @@
         let State { directory, judge, evidence, .. } = &mut *state;
         let mut resting = Vec::new();
         for heard in doubts.iter().filter(|heard| directory.contains(heard.upstream)) {
-            match evidence.merge(heard.upstream, &heard.as_of(as_of), from, now) {
+            match evidence.merge(heard.upstream, &heard.to_evidence(as_of), from, now) {
                 SuspectChange::Cleared => judge.clear_suspect(heard.upstream),
                 SuspectChange::Suspected if judge.eject_suspect(heard.upstream, now) => {
                     let listed = directory.get(heard.upstream);
@@ -107,14 +107,14 @@
     }
 
     /// A part of all that upstreams are believed to have read.
-    pub(crate) fn all_reads(&self, page: ReadsPage, now: Instant) -> Vec<ObservedRead> {
+    pub(crate) fn all_reads(&self, page: CachedPartsPage, now: Instant) -> Vec<ObservedCachedPart> {
         let state = self.state.lock().unwrap();
-        let on_page = state.kept.iter_entries().filter(|kept| page.holds(kept.part));
+        let on_page = state.kept.iter_entries().filter(|kept| page.contains(kept.part));
         on_page.map(|kept| observed_read(kept, now)).collect()
     }
 
     /// Takes in what others told at once, or an upstream listed: it is not told of again.
-    pub(crate) fn recover_reads(&self, reads: &[ObservedRead]) {
+    pub(crate) fn recover_reads(&self, reads: &[ObservedCachedPart]) {
         let now = bendhinge_clock::now();
         let mut state = self.state.lock().unwrap();
         for read in reads {
@@ -124,7 +124,7 @@
 
     /// Takes in which parts upstreams read, as the gateway at `from` told in an exchange that
     /// began at `asked`.
-    pub(crate) fn hear_reads(&self, reads: &[ObservedRead], from: SocketAddr, asked: Instant) {
+    pub(crate) fn hear_reads(&self, reads: &[ObservedCachedPart], from: SocketAddr, asked: Instant) {
         let (now, from) = (bendhinge_clock::now(), learned_from(from));
         let mut state = self.state.lock().unwrap();
         for read in reads {
@@ -165,10 +165,10 @@
 }
 
 /// What a read whose age counts from `as_of` says.
-fn kept_part(read: &ObservedRead, as_of: Instant) -> CachedPart {
+fn kept_part(read: &ObservedCachedPart, as_of: Instant) -> CachedPart {
     CachedPart { part: read.part, upstream: read.upstream, last_used: as_of - read.age }
 }
 
-pub(crate) fn observed_read(kept: CachedPart, now: Instant) -> ObservedRead {
-    ObservedRead { part: kept.part, upstream: kept.upstream, age: now.since(kept.last_used) }
+pub(crate) fn observed_read(kept: CachedPart, now: Instant) -> ObservedCachedPart {
+    ObservedCachedPart { part: kept.part, upstream: kept.upstream, age: now.since(kept.last_used) }
 }
--- a/crates/bendhinge_gateway/src/knowledge/rules.rs
+++ b/crates/bendhinge_gateway/src/knowledge/rules.rs
@@ -6,7 +6,7 @@
 
 use bendhinge_fleet::{Replica, UpdateOutcome, Version};
 use bendhinge_ids::Instant;
-use bendhinge_peer::Known;
+use bendhinge_peer::HeldVersion;
 use bendhinge_routes::ServingRules;
 use bytes::Bytes;
 use futures_lite::FutureExt;
@@ -83,8 +83,8 @@
     }
 
     /// Which version is held, and how old the knowledge of it is.
-    pub(crate) fn known(&self, now: Instant) -> Option<Known> {
-        self.belief.lock().unwrap().current().map(|held| Known::of(held, now))
+    pub(crate) fn known(&self, now: Instant) -> Option<HeldVersion> {
+        self.belief.lock().unwrap().current().map(|held| HeldVersion::new(held, now))
     }
 
     pub(crate) fn lacks(&self, version: Version) -> bool {
--- a/crates/bendhinge_gateway/src/knowledge/upstreams.rs
+++ b/crates/bendhinge_gateway/src/knowledge/upstreams.rs
@@ -11,7 +11,7 @@
     UpstreamFailure, UpstreamHealth, UpstreamList, UpstreamLoad, Version,
 };
 use bendhinge_ids::{Instant, NameHash, PoolName};
-use bendhinge_peer::Known;
+use bendhinge_peer::HeldVersion;
 use bendhinge_placement::{
     CachedPart, CachedParts, Candidate, ChoiceReason, CostModel, CostQuery, Prompt, WarmupLimit, choose,
 };
@@ -162,8 +162,8 @@
         self.state.lock().unwrap().belief.age(now)
     }
 
-    pub(crate) fn known(&self, now: Instant) -> Option<Known> {
-        self.state.lock().unwrap().belief.current().map(|held| Known::of(held, now))
+    pub(crate) fn known(&self, now: Instant) -> Option<HeldVersion> {
+        self.state.lock().unwrap().belief.current().map(|held| HeldVersion::new(held, now))
     }
 
     pub(crate) fn list(&self) -> Option<Arc<UpstreamList>> {
--- a/crates/bendhinge_gateway/src/metrics.rs
+++ b/crates/bendhinge_gateway/src/metrics.rs
@@ -229,8 +229,8 @@
             ("member_states", message.member_states.as_ref().map_or(0, |states| states.0.len())),
             ("loads", message.loads.len()),
             list_loads,
-            ("reads", message.reads.len()),
-            ("doubts", message.doubts.len()),
+            ("reads", message.cached_parts.len()),
+            ("doubts", message.failure_evidence.len()),
         ];
         for (kind, count) in entries.into_iter().filter(|(_, count)| *count > 0) {
             self.told.add(count as u64, &[KeyValue::new("kind", kind)]);
--- a/crates/bendhinge_gateway/src/quarantine.rs
+++ b/crates/bendhinge_gateway/src/quarantine.rs
@@ -7,7 +7,7 @@
 use bendhinge_codes::ResultCode;
 use bendhinge_fleet::{Crash, Origin, Quarantine, SendPermission, UpstreamEntry};
 use bendhinge_ids::{Instant, NameHash, RequestDigest, RequestHint};
-use bendhinge_peer::ObservedSuspicion;
+use bendhinge_peer::ObservedCrashHistory;
 use rand::Rng;
 use serde_json::json;
 use smol::channel::{Receiver, Sender, bounded};
@@ -176,13 +176,13 @@
     }
 
     /// Takes in what the gateway at `from` knows, its ages counted from `as_of`.
-    pub(crate) fn hear(&self, suspicions: &[ObservedSuspicion], from: SocketAddr, as_of: Instant) {
+    pub(crate) fn hear(&self, suspicions: &[ObservedCrashHistory], from: SocketAddr, as_of: Instant) {
         let now = bendhinge_clock::now();
         let mut changed = None;
         for heard in suspicions {
             let mut state = self.state.lock().unwrap();
             let before = state.crash_count(heard.request);
-            let changes = state.merge(heard.request, &heard.as_of(as_of), learned_from(from), now);
+            let changes = state.merge(heard.request, &heard.to_history(as_of), learned_from(from), now);
             let crashes = state.crash_count(heard.request);
             drop(state);
             if changes {
@@ -210,18 +210,18 @@
         since: Instant,
         tells_on: bool,
         now: Instant,
-    ) -> Vec<ObservedSuspicion> {
+    ) -> Vec<ObservedCrashHistory> {
         let state = self.state.lock().unwrap();
         let told = state.changes_for(learned_from(listener), since, tells_on);
-        told.map(|(request, suspicion)| ObservedSuspicion::of(request, suspicion, now)).collect()
+        told.map(|(request, suspicion)| ObservedCrashHistory::new(request, suspicion, now)).collect()
     }
 
     /// What to tell a gateway whose digest is `known`: all that matters, if that is another.
-    pub(crate) fn that_differs(&self, known: u64, now: Instant) -> Vec<ObservedSuspicion> {
+    pub(crate) fn that_differs(&self, known: u64, now: Instant) -> Vec<ObservedCrashHistory> {
         let state = self.state.lock().unwrap();
         let differs = known != state.digest();
         let told = state.synced_histories().filter(|_| differs);
-        told.map(|(request, suspicion)| ObservedSuspicion::of(request, suspicion, now)).collect()
+        told.map(|(request, suspicion)| ObservedCrashHistory::new(request, suspicion, now)).collect()
     }
 
     /// What gateways that know the same have alike.
--- a/crates/bendhinge_gateway/src/ready.rs
+++ b/crates/bendhinge_gateway/src/ready.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bendhinge_http::{Body, empty_body, full_body};
-use bendhinge_peer::Traffic;
+use bendhinge_peer::TrafficCounters;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 
@@ -24,7 +24,7 @@
 pub(crate) struct Readiness {
     pub(crate) delivering: Arc<Delivering>,
     pub(crate) lifecycle: Arc<Lifecycle>,
-    pub(crate) traffic: Arc<Traffic>,
+    pub(crate) traffic: Arc<TrafficCounters>,
     pub(crate) lease: Option<Duration>,
 }
 
--- a/crates/bendhinge_gateway/src/run.rs
+++ b/crates/bendhinge_gateway/src/run.rs
@@ -10,7 +10,7 @@
 use bendhinge_codes::ExitStatus;
 use bendhinge_delivery::IdentityKey;
 use bendhinge_http::{Pool, ServeLimits, Server, ServerStop, Tasks};
-use bendhinge_peer::Traffic;
+use bendhinge_peer::TrafficCounters;
 use futures_lite::StreamExt;
 use smol::net::TcpListener;
 use smol::{LocalExecutor, Timer};
@@ -110,7 +110,7 @@
         upstreams: Arc::new(UpstreamView::new(settings.peers, settings.regions.clone(), &settings.upstreams)),
         retries: Retries::new(settings.retries),
         pacing: Pacing::new(log.clone()),
-        identities: IdentityKey(settings.fleet.key.derived("requests")),
+        identities: IdentityKey(settings.fleet.key.derive("requests")),
         quarantine: Arc::new(quarantine),
         crash_looks: CrashLooks::default(),
         pool: Pool::new(Arc::clone(tasks), settings.upstreams.connect, settings.upstreams.idle),
@@ -120,7 +120,7 @@
         answer_bytes: settings.upstreams.answer_bytes,
     });
     let callers = serve_callers(&settings, &delivering, &lifecycle).await?;
-    let traffic = Arc::new(Traffic::default());
+    let traffic = Arc::new(TrafficCounters::default());
     let _ready = serve_readiness(&settings, &delivering, &lifecycle, &traffic).await?;
     let (peers, address) = listen_to_peers(settings.peers, &log).await?;
     settings.peers = address;
@@ -207,7 +207,7 @@
     settings: &Settings,
     delivering: &Arc<Delivering>,
     lifecycle: &Arc<Lifecycle>,
-    traffic: &Arc<Traffic>,
+    traffic: &Arc<TrafficCounters>,
 ) -> Result<ServerStop, StartError> {
     let server = bind("ready", settings.ready, ServeLimits::default(), delivering).await?;
     let stop = server.stopper();
--- a/crates/bendhinge_lab/tests/gateway_exchange.rs
+++ b/crates/bendhinge_lab/tests/gateway_exchange.rs
@@ -11,8 +11,8 @@
 use bendhinge_ids::NameHash;
 use bendhinge_lab::gateways::{FleetShape, GatewayFleet, PEER_KEY, Told, until};
 use bendhinge_peer::{
-    FleetClient, ObservedDoubt, ObservedFailure, ObservedLoad, ObservedRead, PeerConnection, PeerKey,
-    PeerMessage, Traffic,
+    FleetClient, ObservedCachedPart, ObservedFailureEvidence, ObservedFailureReport, ObservedLoad,
+    PeerConnection, PeerKey, PeerMessage, TrafficCounters,
 };
 use bendhinge_placement::PartId;
 use gateway_common::{call, message_from, run, send, start};
@@ -30,7 +30,7 @@
 }
 
 async fn peer(executor: &Rc<LocalExecutor<'static>>, address: SocketAddr) -> FleetClient {
-    let traffic = Arc::new(Traffic::default());
+    let traffic = Arc::new(TrafficCounters::default());
     let time = Duration::from_secs(20);
     FleetClient::connect(address, &PeerKey::new(PEER_KEY), time, &traffic, executor).await.unwrap()
 }
@@ -72,22 +72,23 @@
         // It is not tried again without a trial while the test lasts.
         let fleet = GatewayFleet::start(&tasks, shape, "[upstreams]\nlongest_rest_ms = 600000\n").await;
         let asked = fleet.settings[0].addresses["peers"];
-        let failure = |router| ObservedFailure { router: NameHash(router), age: Duration::from_millis(20) };
-        let doubt = ObservedDoubt {
+        let failure =
+            |router| ObservedFailureReport { router: NameHash(router), age: Duration::from_millis(20) };
+        let doubt = ObservedFailureEvidence {
             upstream: NameHash::of("services-0"),
-            answered: Some(Duration::from_millis(100)),
-            witnesses: vec![failure(1), failure(2)],
+            last_response_age: Some(Duration::from_millis(100)),
+            reports: vec![failure(1), failure(2)],
         };
         let telling = async {
             let peer = peer(&executor, asked).await;
-            let told = PeerMessage { doubts: vec![doubt.clone()], ..message() };
-            let told_back = peer.exchange(&told).await.unwrap().doubts;
+            let told = PeerMessage { failure_evidence: vec![doubt.clone()], ..message() };
+            let told_back = peer.exchange(&told).await.unwrap().failure_evidence;
             assert_eq!(told_back, [], "who told of it knows it");
-            peer.exchange(&message_from(OTHER)).await.unwrap().doubts
+            peer.exchange(&message_from(OTHER)).await.unwrap().failure_evidence
         };
         let doubts = executor.run(telling).await;
         assert_eq!(doubts.len(), 1, "it is told on: {doubts:?}");
-        assert_eq!(doubts[0].witnesses.len(), 2);
+        assert_eq!(doubts[0].reports.len(), 2);
         let lines = || fleet.gateway(0).lines();
         until(async || lines().iter().any(|line| line.contains("upstream_suspected"))).await;
         // A request that must not be repeated is no trial.
@@ -114,7 +115,11 @@
             let peer = peer(&executor, asked).await;
             let told = PeerMessage { loads: vec![load], ..message() };
             let in_full = peer.exchange(&told).await.unwrap();
-            let same = PeerMessage { roster: in_full.roster, upstreams: in_full.upstreams, ..message() };
+            let same = PeerMessage {
+                roster_digest: in_full.roster_digest,
+                upstreams: in_full.upstreams,
+                ..message()
+            };
             (in_full, peer.exchange(&same).await.unwrap())
         };
         let (in_full, in_states) = executor.run(asking).await;
@@ -166,23 +171,25 @@
         let executor = Rc::new(LocalExecutor::new());
         let fleet = start(&tasks, FleetShape { gateways: 1, engines: 1, services: 0 }).await;
         let asked = fleet.settings[0].addresses["peers"];
-        let read = ObservedRead {
+        let read = ObservedCachedPart {
             part: PartId(7),
             upstream: NameHash::of("engines-0"),
             age: Duration::from_millis(3),
         };
         let asking = async {
             let peer = peer(&executor, asked).await;
-            let telling = PeerMessage { reads: vec![read], ..message_from(OTHER) };
+            let telling = PeerMessage { cached_parts: vec![read], ..message_from(OTHER) };
             peer.exchange(&telling).await.unwrap();
             let first = peer.exchange(&message()).await.unwrap();
-            let heard = PeerMessage { heard: first.told, ..message() };
+            let heard = PeerMessage { received_position: first.sent_position, ..message() };
             let second = peer.exchange(&heard).await.unwrap();
             let other_life = first
-                .told
+                .sent_position
                 .map(|told| LogPosition { incarnation: RouterIncarnation(told.incarnation.0 ^ 1), ..told });
-            let third = peer.exchange(&PeerMessage { heard: other_life, ..message() }).await.unwrap();
-            [first, second, third].map(|answer| answer.reads.iter().map(|read| read.part).collect::<Vec<_>>())
+            let third =
+                peer.exchange(&PeerMessage { received_position: other_life, ..message() }).await.unwrap();
+            [first, second, third]
+                .map(|answer| answer.cached_parts.iter().map(|read| read.part).collect::<Vec<_>>())
         };
         let told = Box::pin(executor.run(asking)).await;
         assert_eq!(told, [vec![PartId(7)], vec![], vec![PartId(7)]]);
--- a/crates/bendhinge_lab/tests/gateway_large_rules.rs
+++ b/crates/bendhinge_lab/tests/gateway_large_rules.rs
@@ -22,8 +22,8 @@
 use bendhinge_fleet::{ListUpdate, Revision, UpstreamList, Version};
 use bendhinge_lab::gateways::{FleetShape, GatewayFleet, Harm, PEER_KEY, Proxy, RULES, until};
 use bendhinge_peer::{
-    FleetClient, FleetDuties, Known, ObservedRead, PeerConnection, PeerKey, PeerMessage, ReadsPage, Traffic,
-    serve_fleet,
+    CachedPartsPage, FleetClient, FleetService, HeldVersion, ObservedCachedPart, PeerConnection, PeerKey,
+    PeerMessage, TrafficCounters, serve_fleet,
 };
 use bytes::Bytes;
 use gateway_common::{message_from, run, start};
@@ -66,14 +66,14 @@
 }
 
 impl OtherGateway {
-    fn known() -> Known {
+    fn known() -> HeldVersion {
         let version = Version { revision: Revision(NEWER), digest: NEWER };
-        Known { version, age: Duration::ZERO }
+        HeldVersion { version, age: Duration::ZERO }
     }
 
     fn message(&self) -> PeerMessage {
         PeerMessage {
-            is_brief: true,
+            is_announcement: true,
             rules: Some(Self::known()),
             upstreams: Some(Self::known()),
             ..message_from(self.address)
@@ -81,29 +81,29 @@
     }
 }
 
-impl FleetDuties for OtherGateway {
+impl FleetService for OtherGateway {
     fn exchange(&self, _: PeerMessage) -> PeerMessage {
         self.message()
     }
 
-    fn rules(&self) -> Option<(Known, Bytes)> {
+    fn rules(&self) -> Option<(HeldVersion, Bytes)> {
         self.rules_asked.set(self.rules_asked.get() + 1);
         Some((Self::known(), self.rules.clone()))
     }
 
-    fn list(&self, _: u64) -> Option<Arc<UpstreamList>> {
+    fn recent_list(&self, _: u64) -> Option<Arc<UpstreamList>> {
         None
     }
 
-    fn list_part(&self) -> Option<Arc<UpstreamList>> {
+    fn partial_list(&self) -> Option<Arc<UpstreamList>> {
         None
     }
 
-    fn upstreams(&self, _: Option<u64>) -> Option<(Known, ListUpdate)> {
+    fn upstreams(&self, _: Option<u64>) -> Option<(HeldVersion, ListUpdate)> {
         Some((Self::known(), ListUpdate::Full(UpstreamList::default())))
     }
 
-    fn reads(&self, _: ReadsPage) -> Option<Vec<ObservedRead>> {
+    fn cached_parts(&self, _: CachedPartsPage) -> Option<Vec<ObservedCachedPart>> {
         None
     }
 }
@@ -125,7 +125,7 @@
         let asked_for = Rc::clone(&other);
         let message = other.message();
         let key = || PeerKey::new(PEER_KEY);
-        let traffic = Arc::new(Traffic::default());
+        let traffic = Arc::new(TrafficCounters::default());
         let serving = serve_fleet(listener, key(), other, Arc::clone(&traffic), Rc::clone(&executor));
         executor.spawn(serving).detach();
         let telling = async {
--- a/crates/bendhinge_lab/tests/security.rs
+++ b/crates/bendhinge_lab/tests/security.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bendhinge_http::{empty_body, fetch};
-use bendhinge_peer::{PeerClient, PeerConnection, PeerKey, Traffic};
+use bendhinge_peer::{PeerClient, PeerConnection, PeerKey, TrafficCounters};
 use common::{eventually, run, start};
 use futures_lite::AsyncWriteExt;
 use hyper::Request;
@@ -23,7 +23,7 @@
         let connected = {
             let executor = Rc::new(LocalExecutor::new());
             let key = PeerKey::new("a key of 16 and more characters");
-            let traffic = Arc::new(Traffic::default());
+            let traffic = Arc::new(TrafficCounters::default());
             smol::block_on(executor.run(PeerClient::connect(address, &key, TIME, &traffic, &executor)))
                 .is_ok()
         };
--- a/crates/bendhinge_peer/src/answering.rs
+++ b/crates/bendhinge_peer/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! The side that is asked, whatever it is asked.
+//! Accepts connections from peers and serves RPC calls on them.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,14 +10,15 @@
 use smol::LocalExecutor;
 use smol::net::{TcpListener, TcpStream};
 
-use crate::secure::{ConnectionSide, PeerKey, secure};
-use crate::traffic::Traffic;
+use crate::secure::{ConnectionRole, PeerKey, secure};
+use crate::traffic::TrafficCounters;
 
-/// Serves peers on `listener` for ever; each connection gets what `bootstrap` makes.
+/// Accepts connections on `listener` indefinitely. `bootstrap` creates the bootstrap capability of each
+/// connection.
 pub(crate) async fn serve_connections(
     listener: TcpListener,
     key: PeerKey,
-    traffic: Arc<Traffic>,
+    traffic: Arc<TrafficCounters>,
     executor: Rc<LocalExecutor<'static>>,
     bootstrap: impl Fn() -> Client,
 ) {
@@ -32,12 +33,12 @@
 async fn serve_connection(
     stream: TcpStream,
     key: PeerKey,
-    traffic: Arc<Traffic>,
+    traffic: Arc<TrafficCounters>,
     executor: Rc<LocalExecutor<'static>>,
     bootstrap: Client,
 ) {
-    // A foreign connection was counted; its sender learns nothing.
-    let Ok(ends) = secure(stream, &key, ConnectionSide::Accepted, &traffic, &executor).await else { return };
-    let network = twoparty::VatNetwork::new(ends.reader, ends.writer, Side::Server, ReaderOptions::default());
+    // Failed handshakes are already counted, and the peer must not learn the reason.
+    let Ok(io) = secure(stream, &key, ConnectionRole::Responder, &traffic, &executor).await else { return };
+    let network = twoparty::VatNetwork::new(io.reader, io.writer, Side::Server, ReaderOptions::default());
     let _ = RpcSystem::new(Box::new(network), Some(bootstrap)).await;
 }
--- a/crates/bendhinge_peer/src/convert.rs
+++ b/crates/bendhinge_peer/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between the typed messages and their form on the wire.
+//! Conversions between the message types and the Cap'n Proto types of the `peer` schema.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use capnp::Error;
 
 use crate::peer_capnp::{self, holder, summary, usage};
-use crate::{OnceAnswer, Told};
+use crate::{ClaimResponse, Traced};
 
-/// The most summaries that are read from one message.
-const SUMMARIES_MAX: u32 = 4_096;
+/// The maximum number of summaries in a message. Longer messages are rejected.
+const MAX_SUMMARIES: u32 = 4_096;
 
-fn invalid(what: &str) -> Error {
-    Error::failed(format!("invalid {what}"))
+fn invalid(field: &str) -> Error {
+    Error::failed(format!("invalid {field}"))
 }
 
 fn list_length(length: usize) -> u32 {
@@ -76,7 +76,7 @@
 pub(crate) fn read_summaries(
     list: capnp::struct_list::Reader<'_, summary::Owned>,
 ) -> Result<Vec<Summary>, Error> {
-    if list.len() > SUMMARIES_MAX {
+    if list.len() > MAX_SUMMARIES {
         return Err(invalid("number of summaries"));
     }
     list.iter().map(read_summary).collect()
@@ -131,19 +131,23 @@
     bytes.try_into().map(OnceKey).map_err(|_| invalid("idempotency key"))
 }
 
-pub(crate) fn write_holder(mut builder: holder::Builder<'_>, life: &RouterIncarnation) {
-    builder.set_name(life.name.as_str());
-    builder.set_incarnation(life.incarnation.0);
+pub(crate) fn write_holder(mut builder: holder::Builder<'_>, router: &RouterIncarnation) {
+    builder.set_name(router.name.as_str());
+    builder.set_incarnation(router.incarnation.0);
 }
 
-pub(crate) fn write_told<T>(mut builder: holder::Builder<'_>, life: &RouterIncarnation, told: &Told<T>) {
-    builder.set_event(told.event.0);
-    builder.set_request(told.request.0);
-    write_holder(builder, life);
+pub(crate) fn write_traced<T>(
+    mut builder: holder::Builder<'_>,
+    router: &RouterIncarnation,
+    traced: &Traced<T>,
+) {
+    builder.set_event(traced.event.0);
+    builder.set_request(traced.request.0);
+    write_holder(builder, router);
 }
 
-pub(crate) fn read_told<T>(message: T, reader: holder::Reader<'_>) -> Told<T> {
-    Told { message, event: EventSequence(reader.get_event()), request: RequestId(reader.get_request()) }
+pub(crate) fn read_traced<T>(message: T, reader: holder::Reader<'_>) -> Traced<T> {
+    Traced { message, event: EventSequence(reader.get_event()), request: RequestId(reader.get_request()) }
 }
 
 pub(crate) fn read_holder(reader: holder::Reader<'_>) -> Result<RouterIncarnation, Error> {
@@ -162,25 +166,25 @@
     Ok(Claimant { life: read_holder(reader)?, request: RequestId(reader.get_request()) })
 }
 
-pub(crate) const fn write_claim(answer: OnceAnswer) -> peer_capnp::Claim {
-    match answer {
-        OnceAnswer::Claim(Claim::Granted) => peer_capnp::Claim::Granted,
-        OnceAnswer::Claim(Claim::AlreadyTaken) => peer_capnp::Claim::AlreadyTaken,
-        OnceAnswer::Claim(Claim::AlreadyRan) => peer_capnp::Claim::AlreadyRan,
-        OnceAnswer::Claim(Claim::CannotVouch) => peer_capnp::Claim::CannotVouch,
-        OnceAnswer::Claim(Claim::Full) => peer_capnp::Claim::Full,
-        OnceAnswer::NotOwner => peer_capnp::Claim::NotOwner,
+pub(crate) const fn write_claim(response: ClaimResponse) -> peer_capnp::Claim {
+    match response {
+        ClaimResponse::Claim(Claim::Granted) => peer_capnp::Claim::Granted,
+        ClaimResponse::Claim(Claim::AlreadyTaken) => peer_capnp::Claim::AlreadyTaken,
+        ClaimResponse::Claim(Claim::AlreadyRan) => peer_capnp::Claim::AlreadyRan,
+        ClaimResponse::Claim(Claim::CannotVouch) => peer_capnp::Claim::CannotVouch,
+        ClaimResponse::Claim(Claim::Full) => peer_capnp::Claim::Full,
+        ClaimResponse::NotOwner => peer_capnp::Claim::NotOwner,
     }
 }
 
-pub(crate) const fn read_claim(claim: peer_capnp::Claim) -> OnceAnswer {
+pub(crate) const fn read_claim(claim: peer_capnp::Claim) -> ClaimResponse {
     match claim {
-        peer_capnp::Claim::Granted => OnceAnswer::Claim(Claim::Granted),
-        peer_capnp::Claim::AlreadyTaken => OnceAnswer::Claim(Claim::AlreadyTaken),
-        peer_capnp::Claim::AlreadyRan => OnceAnswer::Claim(Claim::AlreadyRan),
-        peer_capnp::Claim::CannotVouch => OnceAnswer::Claim(Claim::CannotVouch),
-        peer_capnp::Claim::Full => OnceAnswer::Claim(Claim::Full),
-        peer_capnp::Claim::NotOwner => OnceAnswer::NotOwner,
+        peer_capnp::Claim::Granted => ClaimResponse::Claim(Claim::Granted),
+        peer_capnp::Claim::AlreadyTaken => ClaimResponse::Claim(Claim::AlreadyTaken),
+        peer_capnp::Claim::AlreadyRan => ClaimResponse::Claim(Claim::AlreadyRan),
+        peer_capnp::Claim::CannotVouch => ClaimResponse::Claim(Claim::CannotVouch),
+        peer_capnp::Claim::Full => ClaimResponse::Claim(Claim::Full),
+        peer_capnp::Claim::NotOwner => ClaimResponse::NotOwner,
     }
 }
 
--- a/crates/bendhinge_peer/src/fleet/client.rs
+++ b/crates/bendhinge_peer/src/fleet/client.rs
@@ -1,4 +1,4 @@
-//! The side that asks.
+//! Client for the RPC interface of another gateway.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,177 +10,193 @@
 use smol::LocalExecutor;
 
 use super::convert::{
-    count, read_drained, read_known, read_list, read_message, read_read, read_upstreams, write_message,
+    list_length, read_cached_part, read_drained, read_held_version, read_list, read_message, read_upstreams,
+    write_message,
 };
-use super::{Known, ObservedRead, PeerMessage, ReadsPage};
-use crate::calling::{self, Calling};
-use crate::client::{CallError, within};
+use super::{CachedPartsPage, HeldVersion, ObservedCachedPart, PeerMessage};
+use crate::client::{CallError, with_timeout};
+use crate::connector::{self, ConnectionGuard};
 use crate::fleet_capnp::{document, fleet};
 use crate::pool::PeerConnection;
 use crate::secure::PeerKey;
-use crate::traffic::Traffic;
+use crate::traffic::TrafficCounters;
 
 /// A connection to one peer; cheap to clone.
 #[derive(Clone)]
 pub struct FleetClient {
     peer: fleet::Client,
-    time: Duration,
-    _calling: Rc<Calling>,
+    timeout: Duration,
+    _guard: Rc<ConnectionGuard>,
 }
 
 impl PeerConnection for FleetClient {
     async fn connect(
         address: SocketAddr,
         key: &PeerKey,
-        time: Duration,
-        traffic: &Arc<Traffic>,
+        timeout: Duration,
+        traffic: &Arc<TrafficCounters>,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Result<Self, CallError> {
-        let (peer, calling) = calling::open(address, key, time, traffic, executor).await?;
-        Ok(Self { peer, time, _calling: calling })
+        let (peer, guard) = connector::connect(address, key, timeout, traffic, executor).await?;
+        Ok(Self { peer, timeout, _guard: guard })
     }
 }
 
-/// Rules of which the first piece is there.
-struct RulesBegun {
-    known: Known,
+/// A rules document of which only the first chunk has been fetched.
+struct FirstRulesChunk {
+    held: HeldVersion,
     document: BytesMut,
-    /// Bytes of the whole document; 0 if it is whole.
+    /// The size of the document in bytes; 0 if the first chunk is the whole document.
     length: usize,
     rest: Option<document::Client>,
 }
 
-/// A list of which the first piece is there.
-struct ListBegun {
-    known: Known,
-    told: ListUpdate,
-    /// Entries of the whole list; 0 if it is whole.
+/// An upstream list of which only the first chunk has been fetched.
+struct FirstListChunk {
+    held: HeldVersion,
+    update: ListUpdate,
+    /// The number of entries of the list; 0 if the first chunk is the whole list.
     length: usize,
 }
 
 impl FleetClient {
-    /// Exchanges messages.
+    /// Exchanges messages with the peer.
     pub async fn exchange(&self, message: &PeerMessage) -> Result<PeerMessage, CallError> {
         let mut request = self.peer.exchange_request();
         write_message(request.get().init_message(), message);
-        within(self.time, async {
-            let answer = request.send().promise.await?;
-            Ok(read_message(answer.get()?.get_message()?)?)
+        with_timeout(self.timeout, async {
+            let response = request.send().promise.await?;
+            Ok(read_message(response.get()?.get_message()?)?)
         })
         .await
     }
 
-    /// Fetches the document of the serving rules that the peer holds, piece by piece; each piece has
-    /// the time of a call.
-    pub async fn rules(&self) -> Result<Option<(Known, Bytes)>, CallError> {
-        let Some(RulesBegun { known, mut document, length, rest }) = self.begin_rules().await? else {
+    /// Fetches the serving rules that the peer holds. The call timeout applies to each chunk.
+    pub async fn rules(&self) -> Result<Option<(HeldVersion, Bytes)>, CallError> {
+        let Some(FirstRulesChunk { held, mut document, length, rest }) =
+            self.fetch_first_rules_chunk().await?
+        else {
             return Ok(None);
         };
         while let Some(rest) = rest.as_ref().filter(|_| document.len() < length) {
             let mut request = rest.read_request();
             request.get().set_offset(u32::try_from(document.len()).unwrap_or(u32::MAX));
-            let read = async {
-                let answer = request.send().promise.await?;
-                Ok(Bytes::copy_from_slice(answer.get()?.get_bytes()?))
+            let fetch = async {
+                let response = request.send().promise.await?;
+                Ok(Bytes::copy_from_slice(response.get()?.get_bytes()?))
             };
-            let piece = within(self.time, read).await?;
-            if piece.is_empty() {
-                return Err(capnp::Error::failed("a document ended early".to_owned()).into());
+            let chunk = with_timeout(self.timeout, fetch).await?;
+            if chunk.is_empty() {
+                return Err(capnp::Error::failed(
+                    "rules document truncated: peer sent an empty chunk before its end".to_owned(),
+                )
+                .into());
             }
-            document.extend_from_slice(&piece);
+            document.extend_from_slice(&chunk);
         }
-        Ok(Some((known, document.freeze())))
+        Ok(Some((held, document.freeze())))
     }
 
-    /// Asks for the rules, and takes their first piece.
-    async fn begin_rules(&self) -> Result<Option<RulesBegun>, CallError> {
+    async fn fetch_first_rules_chunk(&self) -> Result<Option<FirstRulesChunk>, CallError> {
         let mut request = self.peer.rules_request();
         request.get().set_in_pieces(true);
-        within(self.time, async {
-            let answer = request.send().promise.await?;
-            let answer = answer.get()?;
-            let length = answer.get_length() as usize;
-            let begun = RulesBegun {
-                document: BytesMut::from(answer.get_document()?),
+        with_timeout(self.timeout, async {
+            let response = request.send().promise.await?;
+            let response = response.get()?;
+            let length = response.get_length() as usize;
+            let first_chunk = FirstRulesChunk {
+                document: BytesMut::from(response.get_document()?),
                 length,
-                // A peer that knows no pieces says no length, and its document is whole.
-                rest: if length > 0 { Some(answer.get_rest()?) } else { None },
-                known: match read_known(answer.get_known()?) {
-                    Some(known) => known,
+                // Peers without support for chunks send the whole document and no length.
+                rest: if length > 0 { Some(response.get_rest()?) } else { None },
+                held: match read_held_version(response.get_known()?) {
+                    Some(held) => held,
                     None => return Ok(None),
                 },
             };
-            Ok(Some(begun))
+            Ok(Some(first_chunk))
         })
         .await
     }
 
-    /// Fetches the list of upstreams that the peer holds, as changes if it remembers the one whose digest
-    /// is `base`. A long list comes in pieces, each of which has the time of a call.
-    pub async fn upstreams(&self, base: Option<u64>) -> Result<Option<(Known, ListUpdate)>, CallError> {
-        let Some(ListBegun { known, mut told, length }) = self.begin_list(base).await? else {
+    /// Fetches the upstream list that the peer holds, as a delta if the peer still has the list with the
+    /// digest `base`. Long lists are fetched in chunks; the call timeout applies to each of them.
+    pub async fn upstreams(&self, base: Option<u64>) -> Result<Option<(HeldVersion, ListUpdate)>, CallError> {
+        let Some(FirstListChunk { held, mut update, length }) = self.fetch_first_list_chunk(base).await?
+        else {
             return Ok(None);
         };
-        if let ListUpdate::Full(list) = &mut told {
+        if let ListUpdate::Full(list) = &mut update {
             while list.entries.len() < length {
-                let piece = self.list_piece(known.version.digest, list.entries.len()).await?;
-                if piece.is_empty() {
-                    return Err(capnp::Error::failed("a list ended early".to_owned()).into());
+                let chunk = self.fetch_list_chunk(held.version.digest, list.entries.len()).await?;
+                if chunk.is_empty() {
+                    return Err(capnp::Error::failed(
+                        "upstream list truncated: peer sent an empty chunk before its end".to_owned(),
+                    )
+                    .into());
                 }
-                list.entries.extend(piece);
+                list.entries.extend(chunk);
             }
         }
-        Ok(Some((known, told)))
+        Ok(Some((held, update)))
     }
 
-    async fn begin_list(&self, base: Option<u64>) -> Result<Option<ListBegun>, CallError> {
+    async fn fetch_first_list_chunk(&self, base: Option<u64>) -> Result<Option<FirstListChunk>, CallError> {
         let mut request = self.peer.upstreams_request();
         request.get().set_base(base.unwrap_or_default());
         request.get().set_in_pieces(true);
-        within(self.time, async {
-            let answer = request.send().promise.await?;
-            let answer = answer.get()?;
-            let told = read_list(answer)?;
-            let length = answer.get_length() as usize;
-            Ok(read_known(answer.get_known()?).map(|known| ListBegun { known, told, length }))
+        with_timeout(self.timeout, async {
+            let response = request.send().promise.await?;
+            let response = response.get()?;
+            let update = read_list(response)?;
+            let length = response.get_length() as usize;
+            Ok(read_held_version(response.get_known()?).map(|held| FirstListChunk { held, update, length }))
         })
         .await
     }
 
-    async fn list_piece(&self, digest: u64, from: usize) -> Result<Vec<Arc<UpstreamEntry>>, CallError> {
+    async fn fetch_list_chunk(
+        &self,
+        digest: u64,
+        start: usize,
+    ) -> Result<Vec<Arc<UpstreamEntry>>, CallError> {
         let mut request = self.peer.list_piece_request();
         request.get().set_digest(digest);
-        request.get().set_from(count(from));
-        within(self.time, async {
-            let answer = request.send().promise.await?;
-            Ok(read_upstreams(answer.get()?.get_list()?)?)
+        request.get().set_from(list_length(start));
+        with_timeout(self.timeout, async {
+            let response = request.send().promise.await?;
+            Ok(read_upstreams(response.get()?.get_list()?)?)
         })
         .await
     }
 
-    /// Fetches the part of a list with which the peer has begun; it is empty if the peer holds a whole one, or none.
-    pub async fn list_part(&self) -> Result<UpstreamList, CallError> {
+    /// Fetches the partial upstream list that the peer holds. It is empty if the peer holds a complete list or
+    /// none.
+    pub async fn partial_list(&self) -> Result<UpstreamList, CallError> {
         let request = self.peer.list_part_request();
-        within(self.time, async {
-            let answer = request.send().promise.await?;
-            let answer = answer.get()?;
-            let entries = read_upstreams(answer.get_list()?)?;
-            Ok(UpstreamList { entries, drained: read_drained(answer.get_drained()?)? })
+        with_timeout(self.timeout, async {
+            let response = request.send().promise.await?;
+            let response = response.get()?;
+            let entries = read_upstreams(response.get_list()?)?;
+            Ok(UpstreamList { entries, drained: read_drained(response.get_drained()?)? })
         })
         .await
     }
 
-    /// Fetches a part of all that the peer believes upstreams to have read; `None` if it has just
-    /// started and knows too little itself.
-    pub async fn reads(&self, page: ReadsPage) -> Result<Option<Vec<ObservedRead>>, CallError> {
+    /// Fetches a page of the cached parts that the peer knows. Returns `None` if the peer has just started
+    /// and does not have enough data.
+    pub async fn cached_parts(
+        &self,
+        page: CachedPartsPage,
+    ) -> Result<Option<Vec<ObservedCachedPart>>, CallError> {
         let mut request = self.peer.reads_request();
         request.get().set_page(page.index);
         request.get().set_pages(page.count);
-        within(self.time, async {
-            let answer = request.send().promise.await?;
-            let answer = answer.get()?;
-            let reads = answer.get_reads()?.iter().map(read_read).collect();
-            Ok(answer.get_informed().then_some(reads))
+        with_timeout(self.timeout, async {
+            let response = request.send().promise.await?;
+            let response = response.get()?;
+            let cached_parts = response.get_reads()?.iter().map(read_cached_part).collect();
+            Ok(response.get_informed().then_some(cached_parts))
         })
         .await
     }
--- a/crates/bendhinge_peer/src/fleet/convert.rs
+++ b/crates/bendhinge_peer/src/fleet/convert.rs
@@ -1,4 +1,4 @@
-//! Between the typed messages and those of the schema.
+//! Conversions between the message types and the Cap'n Proto types of the `fleet` schema.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -13,21 +13,24 @@
 use capnp::traits::OwnedStruct;
 use capnp::{Error, struct_list, text_list};
 
-use super::suspicion::{read_suspicion, write_suspicion};
-use super::{Known, ObservedDoubt, ObservedFailure, ObservedLoad, ObservedRead, PeerMessage, address_parts};
+use super::crash_history::{read_crash_history, write_crash_history};
+use super::{
+    HeldVersion, ObservedCachedPart, ObservedFailureEvidence, ObservedFailureReport, ObservedLoad,
+    PeerMessage, address_parts,
+};
 use crate::fleet_capnp::{
     doubt, fleet, known, load, member, news_position, peer_message, read, upstream, witness,
 };
 
-pub(super) fn millis(span: Duration) -> u32 {
-    u32::try_from(span.as_millis()).unwrap_or(u32::MAX)
+pub(super) fn millis(duration: Duration) -> u32 {
+    u32::try_from(duration.as_millis()).unwrap_or(u32::MAX)
 }
 
-fn short_millis(span: Duration) -> u16 {
-    u16::try_from(span.as_millis()).unwrap_or(u16::MAX)
+fn short_millis(duration: Duration) -> u16 {
+    u16::try_from(duration.as_millis()).unwrap_or(u16::MAX)
 }
 
-pub(super) fn count(length: usize) -> u32 {
+pub(super) fn list_length(length: usize) -> u32 {
     u32::try_from(length).unwrap_or(u32::MAX)
 }
 
@@ -35,118 +38,117 @@
     SocketAddr::from((Ipv4Addr::from_bits(bits), port))
 }
 
-pub(super) fn write_known(mut to: known::Builder<'_>, known: Option<&Known>) {
-    let Some(known) = known else { return };
-    to.set_held(true);
-    to.set_revision(known.version.revision.0);
-    to.set_digest(known.version.digest);
-    // An age is never stated as less than it is.
-    to.set_age_millis(millis(known.age).saturating_add(1));
+pub(super) fn write_held_version(mut builder: known::Builder<'_>, held: Option<&HeldVersion>) {
+    let Some(held) = held else { return };
+    builder.set_held(true);
+    builder.set_revision(held.version.revision.0);
+    builder.set_digest(held.version.digest);
+    // Rounds up so that the receiver never assumes a lower age.
+    builder.set_age_millis(millis(held.age).saturating_add(1));
 }
 
-pub(super) fn read_known(from: known::Reader<'_>) -> Option<Known> {
-    let version = Version { revision: Revision(from.get_revision()), digest: from.get_digest() };
-    let age = Duration::from_millis(from.get_age_millis().into());
-    from.get_held().then_some(Known { version, age })
+pub(super) fn read_held_version(reader: known::Reader<'_>) -> Option<HeldVersion> {
+    let version = Version { revision: Revision(reader.get_revision()), digest: reader.get_digest() };
+    let age = Duration::from_millis(reader.get_age_millis().into());
+    reader.get_held().then_some(HeldVersion { version, age })
 }
 
-fn write_member(mut to: member::Builder<'_>, heard: &MemberReport) {
-    let Some((bits, port)) = address_parts(heard.address) else { return };
-    to.set_address(bits);
-    to.set_port(port);
-    to.set_age_millis(millis(heard.age));
-    to.set_leaving(heard.is_leaving);
-    to.set_store_failing(heard.is_store_failing);
-    to.set_link_mbps(heard.link_mbps);
+fn write_member(mut builder: member::Builder<'_>, report: &MemberReport) {
+    let Some((bits, port)) = address_parts(report.address) else { return };
+    builder.set_address(bits);
+    builder.set_port(port);
+    builder.set_age_millis(millis(report.age));
+    builder.set_leaving(report.is_leaving);
+    builder.set_store_failing(report.is_store_failing);
+    builder.set_link_mbps(report.link_mbps);
 }
 
-fn read_member(from: member::Reader<'_>) -> MemberReport {
+fn read_member(reader: member::Reader<'_>) -> MemberReport {
     MemberReport {
-        address: address(from.get_address(), from.get_port()),
-        age: Duration::from_millis(from.get_age_millis().into()),
-        is_leaving: from.get_leaving(),
-        is_store_failing: from.get_store_failing(),
-        link_mbps: from.get_link_mbps(),
+        address: address(reader.get_address(), reader.get_port()),
+        age: Duration::from_millis(reader.get_age_millis().into()),
+        is_leaving: reader.get_leaving(),
+        is_store_failing: reader.get_store_failing(),
+        link_mbps: reader.get_link_mbps(),
     }
 }
 
-fn write_load(mut to: load::Builder<'_>, load: &ObservedLoad) {
-    to.set_upstream(load.upstream.0);
-    to.set_in_progress(load.in_progress);
-    to.set_age_millis(short_millis(load.age));
+fn write_load(mut builder: load::Builder<'_>, load: &ObservedLoad) {
+    builder.set_upstream(load.upstream.0);
+    builder.set_in_progress(load.in_progress);
+    builder.set_age_millis(short_millis(load.age));
 }
 
-fn read_load(from: load::Reader<'_>) -> ObservedLoad {
+fn read_load(reader: load::Reader<'_>) -> ObservedLoad {
     ObservedLoad {
-        upstream: NameHash(from.get_upstream()),
-        in_progress: from.get_in_progress(),
-        age: Duration::from_millis(from.get_age_millis().into()),
+        upstream: NameHash(reader.get_upstream()),
+        in_progress: reader.get_in_progress(),
+        age: Duration::from_millis(reader.get_age_millis().into()),
     }
 }
 
-pub(super) fn write_read(mut to: read::Builder<'_>, read: &ObservedRead) {
-    to.set_part(read.part.0);
-    to.set_upstream(read.upstream.0);
-    to.set_age_millis(millis(read.age));
+pub(super) fn write_cached_part(mut builder: read::Builder<'_>, cached_part: &ObservedCachedPart) {
+    builder.set_part(cached_part.part.0);
+    builder.set_upstream(cached_part.upstream.0);
+    builder.set_age_millis(millis(cached_part.age));
 }
 
-pub(super) fn read_read(from: read::Reader<'_>) -> ObservedRead {
-    ObservedRead {
-        part: PartId(from.get_part()),
-        upstream: NameHash(from.get_upstream()),
-        age: Duration::from_millis(from.get_age_millis().into()),
+pub(super) fn read_cached_part(reader: read::Reader<'_>) -> ObservedCachedPart {
+    ObservedCachedPart {
+        part: PartId(reader.get_part()),
+        upstream: NameHash(reader.get_upstream()),
+        age: Duration::from_millis(reader.get_age_millis().into()),
     }
 }
 
-fn write_position(mut to: news_position::Builder<'_>, position: LogPosition) {
-    to.set_life(position.incarnation.0);
-    to.set_number(position.sequence);
+fn write_position(mut builder: news_position::Builder<'_>, position: LogPosition) {
+    builder.set_life(position.incarnation.0);
+    builder.set_number(position.sequence);
 }
 
-fn read_position(from: news_position::Reader<'_>) -> Option<LogPosition> {
+fn read_position(reader: news_position::Reader<'_>) -> Option<LogPosition> {
     let position =
-        LogPosition { incarnation: RouterIncarnation(from.get_life()), sequence: from.get_number() };
+        LogPosition { incarnation: RouterIncarnation(reader.get_life()), sequence: reader.get_number() };
     (position.incarnation.0 != 0).then_some(position)
 }
 
-pub(super) fn write_message(mut to: peer_message::Builder<'_>, message: &PeerMessage) {
-    write_member(to.reborrow().init_sender(), &message.sender);
-    to.set_brief(message.is_brief);
-    to.set_probe(message.is_probe);
-    write_known(to.reborrow().init_rules(), message.rules.as_ref());
-    write_known(to.reborrow().init_upstreams(), message.upstreams.as_ref());
-    to.set_roster(message.roster.0);
-    to.set_quarantine(message.quarantine);
-    write_lists(to.reborrow(), message);
+pub(super) fn write_message(mut builder: peer_message::Builder<'_>, message: &PeerMessage) {
+    write_member(builder.reborrow().init_sender(), &message.sender);
+    builder.set_brief(message.is_announcement);
+    builder.set_probe(message.is_probe);
+    write_held_version(builder.reborrow().init_rules(), message.rules.as_ref());
+    write_held_version(builder.reborrow().init_upstreams(), message.upstreams.as_ref());
+    builder.set_roster(message.roster_digest.0);
+    builder.set_quarantine(message.quarantine_digest);
+    write_lists(builder.reborrow(), message);
     if let Some(MemberStates(states)) = &message.member_states {
-        to.set_member_states(states);
+        builder.set_member_states(states);
     }
-    to.set_begun(message.is_begun);
+    builder.set_begun(message.has_partial_list);
     match &message.list_loads {
-        Some(ListLoads::All(PackedLoads(states))) => to.set_load_states(states),
-        Some(ListLoads::Highest(PackedHighLoads(loads))) => to.set_high_loads(loads),
+        Some(ListLoads::All(PackedLoads(states))) => builder.set_load_states(states),
+        Some(ListLoads::Highest(PackedHighLoads(loads))) => builder.set_high_loads(loads),
         None => {}
     }
-    if let Some(told) = message.told {
-        write_position(to.reborrow().init_told(), told);
+    if let Some(position) = message.sent_position {
+        write_position(builder.reborrow().init_told(), position);
     }
-    if let Some(heard) = message.heard {
-        write_position(to.init_heard(), heard);
+    if let Some(position) = message.received_position {
+        write_position(builder.init_heard(), position);
     }
 }
 
-/// Writes each item into its place in a list.
-pub(super) fn write_all<Owned: OwnedStruct, T>(
-    mut to: struct_list::Builder<'_, Owned>,
+/// Writes `items` to a list of the same length.
+pub(super) fn write_list_items<Owned: OwnedStruct, T>(
+    mut builder: struct_list::Builder<'_, Owned>,
     items: &[T],
     write: impl Fn(Owned::Builder<'_>, &T),
 ) {
     for (index, item) in (0..).zip(items) {
-        write(to.reborrow().get(index), item);
+        write(builder.reborrow().get(index), item);
     }
 }
 
-/// Writes the lists of a message; one without entries takes no room.
 fn read_list_loads(states: &[u8], highest: &[u8]) -> Option<ListLoads> {
     if !states.is_empty() {
         return Some(ListLoads::All(PackedLoads(states.to_vec())));
@@ -154,163 +156,183 @@
     (!highest.is_empty()).then(|| ListLoads::Highest(PackedHighLoads(highest.to_vec())))
 }
 
-fn write_lists(mut to: peer_message::Builder<'_>, message: &PeerMessage) {
-    let PeerMessage { members, loads, reads, doubts, suspicions, .. } = message;
+/// Writes the lists of a message. Empty lists are not allocated.
+fn write_lists(mut builder: peer_message::Builder<'_>, message: &PeerMessage) {
+    let PeerMessage { members, loads, cached_parts, failure_evidence, crash_histories, .. } = message;
     if !members.is_empty() {
-        write_all(to.reborrow().init_members(count(members.len())), members, write_member);
+        write_list_items(builder.reborrow().init_members(list_length(members.len())), members, write_member);
     }
     if !loads.is_empty() {
-        write_all(to.reborrow().init_loads(count(loads.len())), loads, write_load);
+        write_list_items(builder.reborrow().init_loads(list_length(loads.len())), loads, write_load);
     }
-    if !reads.is_empty() {
-        write_all(to.reborrow().init_reads(count(reads.len())), reads, write_read);
+    if !cached_parts.is_empty() {
+        write_list_items(
+            builder.reborrow().init_reads(list_length(cached_parts.len())),
+            cached_parts,
+            write_cached_part,
+        );
     }
-    if !doubts.is_empty() {
-        write_all(to.reborrow().init_doubts(count(doubts.len())), doubts, write_doubt);
+    if !failure_evidence.is_empty() {
+        write_list_items(
+            builder.reborrow().init_doubts(list_length(failure_evidence.len())),
+            failure_evidence,
+            write_failure_evidence,
+        );
     }
-    if !suspicions.is_empty() {
-        write_all(to.init_suspicions(count(suspicions.len())), suspicions, write_suspicion);
+    if !crash_histories.is_empty() {
+        write_list_items(
+            builder.init_suspicions(list_length(crash_histories.len())),
+            crash_histories,
+            write_crash_history,
+        );
     }
 }
 
-fn write_doubt(mut to: doubt::Builder<'_>, doubt: &ObservedDoubt) {
-    to.set_upstream(doubt.upstream.0);
-    to.set_answered(doubt.answered.is_some());
-    to.set_answered_age_millis(millis(doubt.answered.unwrap_or_default()));
-    write_all(to.init_witnesses(count(doubt.witnesses.len())), &doubt.witnesses, write_failure);
+fn write_failure_evidence(mut builder: doubt::Builder<'_>, evidence: &ObservedFailureEvidence) {
+    builder.set_upstream(evidence.upstream.0);
+    builder.set_answered(evidence.last_response_age.is_some());
+    builder.set_answered_age_millis(millis(evidence.last_response_age.unwrap_or_default()));
+    write_list_items(
+        builder.init_witnesses(list_length(evidence.reports.len())),
+        &evidence.reports,
+        write_failure_report,
+    );
 }
 
-fn write_failure(mut to: witness::Builder<'_>, failure: &ObservedFailure) {
-    to.set_router(failure.router.0);
-    to.set_age_millis(millis(failure.age));
+fn write_failure_report(mut builder: witness::Builder<'_>, report: &ObservedFailureReport) {
+    builder.set_router(report.router.0);
+    builder.set_age_millis(millis(report.age));
 }
 
-fn read_doubt(from: doubt::Reader<'_>) -> Result<ObservedDoubt, Error> {
-    let age = |age: u32| Duration::from_millis(age.into());
-    let witnesses = from.get_witnesses()?.iter().map(|witness| ObservedFailure {
-        router: NameHash(witness.get_router()),
-        age: age(witness.get_age_millis()),
+fn read_failure_evidence(reader: doubt::Reader<'_>) -> Result<ObservedFailureEvidence, Error> {
+    let age = |millis: u32| Duration::from_millis(millis.into());
+    let reports = reader.get_witnesses()?.iter().map(|report| ObservedFailureReport {
+        router: NameHash(report.get_router()),
+        age: age(report.get_age_millis()),
     });
-    Ok(ObservedDoubt {
-        upstream: NameHash(from.get_upstream()),
-        answered: from.get_answered().then(|| age(from.get_answered_age_millis())),
-        witnesses: witnesses.collect(),
+    Ok(ObservedFailureEvidence {
+        upstream: NameHash(reader.get_upstream()),
+        last_response_age: reader.get_answered().then(|| age(reader.get_answered_age_millis())),
+        reports: reports.collect(),
     })
 }
 
-pub(super) fn read_message(from: peer_message::Reader<'_>) -> Result<PeerMessage, Error> {
-    let member_states = from.get_member_states()?;
-    let load_states = from.get_load_states()?;
-    let high_loads = from.get_high_loads()?;
+pub(super) fn read_message(reader: peer_message::Reader<'_>) -> Result<PeerMessage, Error> {
+    let member_states = reader.get_member_states()?;
+    let load_states = reader.get_load_states()?;
+    let high_loads = reader.get_high_loads()?;
     Ok(PeerMessage {
-        sender: read_member(from.get_sender()?),
-        is_brief: from.get_brief(),
-        is_probe: from.get_probe(),
-        rules: read_known(from.get_rules()?),
-        upstreams: read_known(from.get_upstreams()?),
-        roster: RosterDigest(from.get_roster()),
-        members: from.get_members()?.iter().map(read_member).collect(),
+        sender: read_member(reader.get_sender()?),
+        is_announcement: reader.get_brief(),
+        is_probe: reader.get_probe(),
+        rules: read_held_version(reader.get_rules()?),
+        upstreams: read_held_version(reader.get_upstreams()?),
+        roster_digest: RosterDigest(reader.get_roster()),
+        members: reader.get_members()?.iter().map(read_member).collect(),
         member_states: (!member_states.is_empty()).then(|| MemberStates(member_states.to_vec())),
-        loads: from.get_loads()?.iter().map(read_load).collect(),
-        is_begun: from.get_begun(),
+        loads: reader.get_loads()?.iter().map(read_load).collect(),
+        has_partial_list: reader.get_begun(),
         list_loads: read_list_loads(load_states, high_loads),
-        reads: from.get_reads()?.iter().map(read_read).collect(),
-        told: read_position(from.get_told()?),
-        heard: read_position(from.get_heard()?),
-        doubts: from.get_doubts()?.iter().map(read_doubt).collect::<Result<_, _>>()?,
-        suspicions: from.get_suspicions()?.iter().map(read_suspicion).collect::<Result<_, _>>()?,
-        quarantine: from.get_quarantine(),
+        cached_parts: reader.get_reads()?.iter().map(read_cached_part).collect(),
+        sent_position: read_position(reader.get_told()?),
+        received_position: read_position(reader.get_heard()?),
+        failure_evidence: reader.get_doubts()?.iter().map(read_failure_evidence).collect::<Result<_, _>>()?,
+        crash_histories: reader.get_suspicions()?.iter().map(read_crash_history).collect::<Result<_, _>>()?,
+        quarantine_digest: reader.get_quarantine(),
     })
 }
 
-fn write_upstream(mut to: upstream::Builder<'_>, entry: &UpstreamEntry) {
+fn write_upstream(mut builder: upstream::Builder<'_>, entry: &UpstreamEntry) {
     let Some((bits, port)) = address_parts(entry.address) else { return };
-    to.set_name(entry.name.as_str());
-    to.set_pool(entry.pool.as_str());
-    to.set_address(bits);
-    to.set_port(port);
-    to.set_data_centre(entry.data_centre.as_str());
-    to.set_slots(entry.slots);
-    to.set_draining(entry.state == UpstreamState::Draining);
-    to.set_made(entry.created_revision);
-    to.set_born(entry.started_ms);
-    to.set_software(entry.software.0);
+    builder.set_name(entry.name.as_str());
+    builder.set_pool(entry.pool.as_str());
+    builder.set_address(bits);
+    builder.set_port(port);
+    builder.set_data_centre(entry.data_centre.as_str());
+    builder.set_slots(entry.slots);
+    builder.set_draining(entry.state == UpstreamState::Draining);
+    builder.set_made(entry.created_revision);
+    builder.set_born(entry.started_ms);
+    builder.set_software(entry.software.0);
     if let Some(warm_up) = entry.warm_up {
-        to.set_warm_up_left_millis(millis(warm_up.remaining));
-        to.set_warm_up_said(warm_up.revision.0);
+        builder.set_warm_up_left_millis(millis(warm_up.remaining));
+        builder.set_warm_up_said(warm_up.revision.0);
     }
 }
 
-fn read_warm_up(from: upstream::Reader<'_>) -> Option<WarmUp> {
-    let left = Duration::from_millis(from.get_warm_up_left_millis().into());
-    WarmUp::new(left, Revision(from.get_warm_up_said()))
+fn read_warm_up(reader: upstream::Reader<'_>) -> Option<WarmUp> {
+    let remaining = Duration::from_millis(reader.get_warm_up_left_millis().into());
+    WarmUp::new(remaining, Revision(reader.get_warm_up_said()))
 }
 
 fn read_data_centre(name: capnp::text::Reader<'_>) -> Result<DataCentreName, Error> {
-    name.to_str()?.parse().map_err(|_| Error::failed("a data centre's name is invalid".to_owned()))
+    name.to_str()?.parse().map_err(|_| Error::failed("invalid name of a data centre".to_owned()))
 }
 
-fn read_upstream(from: upstream::Reader<'_>) -> Result<UpstreamEntry, Error> {
-    let invalid = |_| Error::failed("an upstream's name is invalid".to_owned());
-    let name: bendhinge_ids::UpstreamName = from.get_name()?.to_str()?.parse().map_err(invalid)?;
+fn read_upstream(reader: upstream::Reader<'_>) -> Result<UpstreamEntry, Error> {
+    let invalid = |_| Error::failed("invalid name of an upstream or its pool".to_owned());
+    let name: bendhinge_ids::UpstreamName = reader.get_name()?.to_str()?.parse().map_err(invalid)?;
     Ok(UpstreamEntry {
-        hash: UpstreamEntry::instance_hash(&name, from.get_born()),
+        hash: UpstreamEntry::instance_hash(&name, reader.get_born()),
         name,
-        started_ms: from.get_born(),
-        software: NameHash(from.get_software()),
-        pool: from.get_pool()?.to_str()?.parse().map_err(invalid)?,
-        address: address(from.get_address(), from.get_port()),
-        data_centre: read_data_centre(from.get_data_centre()?)?,
-        slots: from.get_slots(),
-        state: if from.get_draining() { UpstreamState::Draining } else { UpstreamState::Ready },
-        created_revision: from.get_made(),
-        warm_up: read_warm_up(from),
+        started_ms: reader.get_born(),
+        software: NameHash(reader.get_software()),
+        pool: reader.get_pool()?.to_str()?.parse().map_err(invalid)?,
+        address: address(reader.get_address(), reader.get_port()),
+        data_centre: read_data_centre(reader.get_data_centre()?)?,
+        slots: reader.get_slots(),
+        state: if reader.get_draining() { UpstreamState::Draining } else { UpstreamState::Ready },
+        created_revision: reader.get_made(),
+        warm_up: read_warm_up(reader),
     })
 }
 
-pub(super) fn read_upstreams(from: struct_list::Reader<'_, upstream::Owned>) -> Result<Entries, Error> {
-    from.iter().map(|entry| read_upstream(entry).map(Arc::new)).collect()
+pub(super) fn read_upstreams(reader: struct_list::Reader<'_, upstream::Owned>) -> Result<Entries, Error> {
+    reader.iter().map(|entry| read_upstream(entry).map(Arc::new)).collect()
 }
 
 type Entries = Vec<Arc<UpstreamEntry>>;
 
-pub(super) fn write_list(mut to: fleet::upstreams_results::Builder<'_>, told: &ListUpdate) {
-    let (entries, drained) = match told {
+pub(super) fn write_list(mut builder: fleet::upstreams_results::Builder<'_>, update: &ListUpdate) {
+    let (entries, drained) = match update {
         ListUpdate::Full(list) => (&list.entries, &list.drained),
-        ListUpdate::Delta { base, delta: changes } => {
-            to.set_base(*base);
-            let mut gone = to.reborrow().init_gone(count(changes.removed.len()));
-            for (index, hash) in (0..).zip(&changes.removed) {
-                gone.set(index, hash.0);
+        ListUpdate::Delta { base, delta: list_delta } => {
+            builder.set_base(*base);
+            let mut removed_hashes = builder.reborrow().init_gone(list_length(list_delta.removed.len()));
+            for (index, hash) in (0..).zip(&list_delta.removed) {
+                removed_hashes.set(index, hash.0);
             }
-            (&changes.upserted, &changes.drained)
+            (&list_delta.upserted, &list_delta.drained)
         }
     };
-    write_drained(to.reborrow().init_drained(count(drained.len())), drained);
-    write_entries(to.init_list(count(entries.len())), entries);
+    write_drained(builder.reborrow().init_drained(list_length(drained.len())), drained);
+    write_entries(builder.init_list(list_length(entries.len())), entries);
 }
 
-pub(super) fn write_drained(mut to: text_list::Builder<'_>, drained: &[DataCentreName]) {
+pub(super) fn write_drained(mut builder: text_list::Builder<'_>, drained: &[DataCentreName]) {
     for (index, name) in (0..).zip(drained) {
-        to.set(index, name.as_str());
+        builder.set(index, name.as_str());
     }
 }
 
-pub(super) fn read_drained(from: text_list::Reader<'_>) -> Result<Vec<DataCentreName>, Error> {
-    from.iter().map(|name| read_data_centre(name?)).collect()
+pub(super) fn read_drained(reader: text_list::Reader<'_>) -> Result<Vec<DataCentreName>, Error> {
+    reader.iter().map(|name| read_data_centre(name?)).collect()
 }
 
-pub(super) fn write_entries(to: struct_list::Builder<'_, upstream::Owned>, entries: &[Arc<UpstreamEntry>]) {
-    write_all(to, entries, |to, entry| write_upstream(to, entry));
+pub(super) fn write_entries(
+    builder: struct_list::Builder<'_, upstream::Owned>,
+    entries: &[Arc<UpstreamEntry>],
+) {
+    write_list_items(builder, entries, |item, entry| write_upstream(item, entry));
 }
 
-pub(super) fn read_list(from: fleet::upstreams_results::Reader<'_>) -> Result<ListUpdate, Error> {
-    let entries = read_upstreams(from.get_list()?)?;
-    let drained = read_drained(from.get_drained()?)?;
-    let base = from.get_base();
+pub(super) fn read_list(reader: fleet::upstreams_results::Reader<'_>) -> Result<ListUpdate, Error> {
+    let entries = read_upstreams(reader.get_list()?)?;
+    let drained = read_drained(reader.get_drained()?)?;
+    let base = reader.get_base();
     if base == 0 {
         return Ok(ListUpdate::Full(UpstreamList { entries, drained }));
     }
-    let gone = from.get_gone()?.iter().map(NameHash).collect();
-    Ok(ListUpdate::Delta { base, delta: ListDelta { removed: gone, upserted: entries, drained } })
+    let removed_hashes = reader.get_gone()?.iter().map(NameHash).collect();
+    Ok(ListUpdate::Delta { base, delta: ListDelta { removed: removed_hashes, upserted: entries, drained } })
 }
--- a/crates/bendhinge_peer/src/fleet/mod.rs
+++ b/crates/bendhinge_peer/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! What gateways tell each other: how old their beliefs are, whom they know, and what they saw
-//! of upstreams.
+//! RPC interface between gateways: exchange of replica versions, membership and observations of
+//! upstreams.
 
 mod client;
 mod convert;
+mod crash_history;
 mod server;
-mod suspicion;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,198 +19,201 @@
 use bytes::Bytes;
 
 pub use client::FleetClient;
+pub use crash_history::{ObservedCrash, ObservedCrashHistory, ObservedInFlightSends};
 pub use server::serve_fleet;
-pub use suspicion::{ObservedCrash, ObservedSends, ObservedSuspicion};
 
-/// A value that the sender holds.
+/// The version and age of a replicated value that a gateway holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Known {
-    /// Which one.
+pub struct HeldVersion {
+    /// The version of the value.
     pub version: Version,
-    /// How long ago it was known to be current.
+    /// The time since the value was known to be current.
     pub age: Duration,
 }
 
-impl Known {
-    /// What is known at `now` of a value that is held.
+impl HeldVersion {
+    /// Creates the description of `value` at `now`.
     #[must_use]
-    pub fn of<T>(held: &VersionedValue<T>, now: Instant) -> Self {
-        Self { version: held.version, age: now.since(held.as_of) }
+    pub fn new<T>(value: &VersionedValue<T>, now: Instant) -> Self {
+        Self { version: value.version, age: now.since(value.as_of) }
     }
 }
 
-/// What an upstream said of its load.
+/// The load that an upstream reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedLoad {
     /// The upstream.
     pub upstream: NameHash,
-    /// Requests there, running and waiting.
+    /// The number of its requests, running and queued.
     pub in_progress: u16,
-    /// How long ago it said so.
+    /// The time since the report.
     pub age: Duration,
 }
 
-/// A part of a prompt that an upstream read.
+/// A prompt part that an upstream has cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ObservedRead {
-    /// The part.
+pub struct ObservedCachedPart {
+    /// The prompt part.
     pub part: PartId,
     /// The upstream.
     pub upstream: NameHash,
-    /// How long ago it was last used there.
+    /// The time since the upstream last used it.
     pub age: Duration,
 }
 
-/// What is known of an upstream that failed lately.
+/// [`FailureEvidence`] about an upstream, with ages instead of instants.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ObservedDoubt {
+pub struct ObservedFailureEvidence {
     /// The upstream.
     pub upstream: NameHash,
-    /// How long ago anybody had an answer of it.
-    pub answered: Option<Duration>,
-    /// Who had failures, and how long ago.
-    pub witnesses: Vec<ObservedFailure>,
+    /// The time since any gateway last got a response from it.
+    pub last_response_age: Option<Duration>,
+    /// The failures that gateways reported.
+    pub reports: Vec<ObservedFailureReport>,
 }
 
-impl ObservedDoubt {
-    /// What is known at `now` of an upstream.
+impl ObservedFailureEvidence {
+    /// Converts evidence, with ages as of `now`.
     #[must_use]
-    pub fn of(upstream: NameHash, doubt: &FailureEvidence, now: Instant) -> Self {
-        let failure =
-            |witness: &FailureReport| ObservedFailure { router: witness.router, age: now.since(witness.at) };
+    pub fn new(upstream: NameHash, evidence: &FailureEvidence, now: Instant) -> Self {
+        let observed = |report: &FailureReport| ObservedFailureReport {
+            router: report.router,
+            age: now.since(report.at),
+        };
         Self {
             upstream,
-            answered: doubt.last_response.map(|answered| now.since(answered)),
-            witnesses: doubt.reports.iter().map(failure).collect(),
+            last_response_age: evidence.last_response.map(|at| now.since(at)),
+            reports: evidence.reports.iter().map(observed).collect(),
         }
     }
 
-    /// The same, its ages counted from `as_of`.
+    /// Converts back to evidence, with ages counted from `as_of`.
     #[must_use]
-    pub fn as_of(&self, as_of: Instant) -> FailureEvidence {
-        let witness =
-            |failure: &ObservedFailure| FailureReport { router: failure.router, at: as_of - failure.age };
+    pub fn to_evidence(&self, as_of: Instant) -> FailureEvidence {
+        let restored =
+            |report: &ObservedFailureReport| FailureReport { router: report.router, at: as_of - report.age };
         FailureEvidence {
-            last_response: self.answered.map(|age| as_of - age),
-            reports: self.witnesses.iter().map(witness).collect(),
+            last_response: self.last_response_age.map(|age| as_of - age),
+            reports: self.reports.iter().map(restored).collect(),
         }
     }
 }
 
-/// A gateway's last failure at an upstream.
+/// The last failure of a gateway's requests to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ObservedFailure {
-    /// Which gateway, by a hash of its address.
+pub struct ObservedFailureReport {
+    /// The hash of the gateway's address.
     pub router: NameHash,
-    /// How long ago.
+    /// The time since the failure.
     pub age: Duration,
 }
 
-/// What one gateway tells another in an exchange.
+/// The message that two gateways send each other in an exchange.
 ///
-/// It says no more than the receiver lacks, as far as the sender knows: what both list is told in a few
-/// bytes each, and reads once.
+/// It contains only what the receiver lacks as far as the sender knows. Entries of lists that both sides
+/// hold are encoded in a few bytes each, and cached parts are sent only once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerMessage {
-    /// The sender itself.
+    /// The state of the sender.
     pub sender: MemberReport,
-    /// Whether it says only what the sender holds, and asks for no more: there is news.
-    pub is_brief: bool,
-    /// Whether it asks for members alone.
+    /// Whether the message only announces new versions and requests no other data.
+    pub is_announcement: bool,
+    /// Whether the sender requests only the members.
     pub is_probe: bool,
-    /// The serving rules that it holds.
-    pub rules: Option<Known>,
-    /// The list of upstreams that it holds.
-    pub upstreams: Option<Known>,
-    /// Whether it holds a part of a list, and no whole one yet.
-    pub is_begun: bool,
-    /// Which members it knows.
-    pub roster: RosterDigest,
-    /// The members that it knows, if the receiver may know others.
+    /// The version of the serving rules that the sender holds.
+    pub rules: Option<HeldVersion>,
+    /// The version of the upstream list that the sender holds.
+    pub upstreams: Option<HeldVersion>,
+    /// Whether the sender holds a part of an upstream list but no complete one.
+    pub has_partial_list: bool,
+    /// The digest of the members that the sender knows.
+    pub roster_digest: RosterDigest,
+    /// The members that the sender knows, unless the receiver knows the same.
     pub members: Vec<MemberReport>,
-    /// Their states, if the receiver knows the same ones.
+    /// The states of the members, if the receiver knows the same members.
     pub member_states: Option<MemberStates>,
-    /// What it heard from upstreams of their loads, if the receiver may hold another list of them.
+    /// The loads of upstreams, unless the receiver holds the same upstream list.
     pub loads: Vec<ObservedLoad>,
-    /// Their loads, if the receiver holds the same list.
+    /// The loads of upstreams, if the receiver holds the same upstream list.
     pub list_loads: Option<ListLoads>,
-    /// What upstreams read, as the sender learned lately.
-    pub reads: Vec<ObservedRead>,
-    /// Up to where this message tells of the sender's reads.
-    pub told: Option<LogPosition>,
-    /// Up to where the sender was told of the receiver's.
-    pub heard: Option<LogPosition>,
-    /// What it knows of upstreams that failed lately.
-    pub doubts: Vec<ObservedDoubt>,
-    /// Requests under which upstreams crash: what changed lately, or all that matters if the receiver knows
-    /// something else.
-    pub suspicions: Vec<ObservedSuspicion>,
-    /// A digest of all that matters of them.
-    pub quarantine: u64,
+    /// Recent entries of the sender's log of cached parts.
+    pub cached_parts: Vec<ObservedCachedPart>,
+    /// The position in the sender's log up to which this message contains the entries.
+    pub sent_position: Option<LogPosition>,
+    /// The position in the receiver's log up to which the sender has received the entries.
+    pub received_position: Option<LogPosition>,
+    /// Evidence about upstreams that failed recently.
+    pub failure_evidence: Vec<ObservedFailureEvidence>,
+    /// Crash histories of requests: the recent changes, or all relevant ones if the receiver's digest
+    /// differs.
+    pub crash_histories: Vec<ObservedCrashHistory>,
+    /// The digest of all relevant crash histories.
+    pub quarantine_digest: u64,
 }
 
 impl PeerMessage {
-    /// A message that says nothing but who sends it.
+    /// Creates a message that contains only the state of the sender.
     #[must_use]
     pub const fn from_sender(sender: MemberReport) -> Self {
         Self {
             sender,
-            is_brief: false,
+            is_announcement: false,
             is_probe: false,
             rules: None,
             upstreams: None,
-            is_begun: false,
-            roster: RosterDigest(0),
+            has_partial_list: false,
+            roster_digest: RosterDigest(0),
             members: Vec::new(),
             member_states: None,
             loads: Vec::new(),
             list_loads: None,
-            reads: Vec::new(),
-            told: None,
-            heard: None,
-            doubts: Vec::new(),
-            suspicions: Vec::new(),
-            quarantine: 0,
+            cached_parts: Vec::new(),
+            sent_position: None,
+            received_position: None,
+            failure_evidence: Vec::new(),
+            crash_histories: Vec::new(),
+            quarantine_digest: 0,
         }
     }
 }
 
-/// A part of all that a gateway believes upstreams to have read: of the parts of prompts whose
-/// number leaves `index` when divided by `count`. Asked for one by one, they never take much
-/// memory at either end, however many ask at once.
+/// A page of the cached parts that a gateway knows: the prompt parts whose ID modulo `count` is `index`.
+///
+/// Fetching page by page limits the memory used at both ends, even with many concurrent fetches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReadsPage {
-    /// Which one, from 0.
+pub struct CachedPartsPage {
+    /// The index of the page, starting at 0.
     pub index: u32,
-    /// How many there are; 0 are one.
+    /// The number of pages; 0 means 1.
     pub count: u32,
 }
 
-impl ReadsPage {
-    /// Whether a part is on the page.
+impl CachedPartsPage {
+    /// Whether the page contains `part`.
     #[must_use]
-    pub fn holds(self, part: PartId) -> bool {
+    pub fn contains(self, part: PartId) -> bool {
         part.0 % u64::from(self.count.max(1)) == u64::from(self.index)
     }
 }
 
-/// What a gateway answers to its peers.
-pub trait FleetDuties {
-    /// Takes in a message and gives the own one.
+/// RPC methods that a gateway implements for its peers.
+pub trait FleetService {
+    /// Merges a peer's message and returns the message for the peer.
     fn exchange(&self, message: PeerMessage) -> PeerMessage;
-    /// The document of the serving rules that are held.
-    fn rules(&self) -> Option<(Known, Bytes)>;
-    /// The list of upstreams that is held, for a peer that holds the one whose digest is `base`.
-    fn upstreams(&self, base: Option<u64>) -> Option<(Known, ListUpdate)>;
-    /// A list of upstreams that was held lately, by its digest.
-    fn list(&self, digest: u64) -> Option<Arc<UpstreamList>>;
-    /// The part of a list with which this gateway has begun, if it holds no whole one.
-    fn list_part(&self) -> Option<Arc<UpstreamList>>;
-    /// All that upstreams are believed to have read; `None` just after the start.
-    fn reads(&self, page: ReadsPage) -> Option<Vec<ObservedRead>>;
+    /// Returns the serving rules that this gateway holds.
+    fn rules(&self) -> Option<(HeldVersion, Bytes)>;
+    /// Returns the upstream list that this gateway holds, for a peer that holds the one with the digest
+    /// `base`.
+    fn upstreams(&self, base: Option<u64>) -> Option<(HeldVersion, ListUpdate)>;
+    /// Returns the current or a recent upstream list by its digest.
+    fn recent_list(&self, digest: u64) -> Option<Arc<UpstreamList>>;
+    /// Returns the partial upstream list that this gateway uses until it holds a complete one.
+    fn partial_list(&self) -> Option<Arc<UpstreamList>>;
+    /// Returns a page of the known cached parts, or `None` shortly after startup.
+    fn cached_parts(&self, page: CachedPartsPage) -> Option<Vec<ObservedCachedPart>>;
 }
 
-/// Where a member is reached, as sent: IPv4 only, which is what gateways listen on.
+/// Returns the address bits and the port, or `None` for IPv6, which gateways do not listen on.
 const fn address_parts(address: SocketAddr) -> Option<(u32, u16)> {
     match address {
         SocketAddr::V4(address) => Some((address.ip().to_bits(), address.port())),
--- a/crates/bendhinge_peer/src/fleet/server.rs
+++ b/crates/bendhinge_peer/src/fleet/server.rs
@@ -1,4 +1,4 @@
-//! The side that is asked.
+//! Server of the RPC interface for other gateways.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,64 +10,64 @@
 use smol::net::TcpListener;
 
 use super::convert::{
-    count, read_message, write_all, write_drained, write_entries, write_known, write_list, write_message,
-    write_read,
+    list_length, read_message, write_cached_part, write_drained, write_entries, write_held_version,
+    write_list, write_list_items, write_message,
 };
-use super::{FleetDuties, ReadsPage};
-use crate::answering::serve_connections;
+use super::{CachedPartsPage, FleetService};
+use crate::acceptor::serve_connections;
 use crate::fleet_capnp::{document, fleet};
 use crate::secure::PeerKey;
-use crate::traffic::Traffic;
+use crate::traffic::TrafficCounters;
 
-/// Bytes of a document in one answer. On a link of 10 Mbit/s one takes 26 ms, and those of eight who
-/// fetch at the same time 0.2 s: well within the 0.5 s of a call, and no list waits longer behind one.
-const PIECE: usize = 32 << 10;
+/// The maximum size of a document chunk. It is small enough that several concurrent transfers over a slow
+/// link finish within the call timeout and do not delay other calls.
+const CHUNK_BYTES: usize = 32 << 10;
 
-/// Entries of a list in one answer, some 100 bytes each.
-const PIECE_ENTRIES: usize = 256;
+/// The maximum number of entries in a chunk of an upstream list.
+const CHUNK_ENTRIES: usize = 256;
 
 struct Server<D>(Rc<D>);
 
-/// A document that is read piece by piece.
-struct Rest(Bytes);
+/// A document that a peer reads in chunks.
+struct ChunkedDocument(Bytes);
 
-impl document::Server for Rest {
+impl document::Server for ChunkedDocument {
     async fn read(
         self: Rc<Self>,
         params: document::ReadParams,
         mut results: document::ReadResults,
     ) -> Result<(), Error> {
-        let from = (params.get()?.get_offset() as usize).min(self.0.len());
-        let to = (from + PIECE).min(self.0.len());
-        results.get().set_bytes(&self.0[from..to]);
+        let start = (params.get()?.get_offset() as usize).min(self.0.len());
+        let end = (start + CHUNK_BYTES).min(self.0.len());
+        results.get().set_bytes(&self.0[start..end]);
         Ok(())
     }
 }
 
-/// Serves peers on `listener` for ever.
-pub async fn serve_fleet<D: FleetDuties + 'static>(
+/// Serves RPC calls of peers on `listener` indefinitely.
+pub async fn serve_fleet<D: FleetService + 'static>(
     listener: TcpListener,
     key: PeerKey,
-    duties: Rc<D>,
-    traffic: Arc<Traffic>,
+    service: Rc<D>,
+    traffic: Arc<TrafficCounters>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
     let bootstrap = || {
-        let client: fleet::Client = capnp_rpc::new_client(Server(Rc::clone(&duties)));
+        let client: fleet::Client = capnp_rpc::new_client(Server(Rc::clone(&service)));
         client.client
     };
     serve_connections(listener, key, traffic, executor, bootstrap).await;
 }
 
-impl<D: FleetDuties + 'static> fleet::Server for Server<D> {
+impl<D: FleetService + 'static> fleet::Server for Server<D> {
     async fn exchange(
         self: Rc<Self>,
         params: fleet::ExchangeParams,
         mut results: fleet::ExchangeResults,
     ) -> Result<(), Error> {
-        let heard = read_message(params.get()?.get_message()?)?;
-        let answer = self.0.exchange(heard);
-        write_message(results.get().init_message(), &answer);
+        let received = read_message(params.get()?.get_message()?)?;
+        let message = self.0.exchange(received);
+        write_message(results.get().init_message(), &message);
         Ok(())
     }
 
@@ -76,15 +76,15 @@
         params: fleet::RulesParams,
         mut results: fleet::RulesResults,
     ) -> Result<(), Error> {
-        let Some((known, document)) = self.0.rules() else { return Ok(()) };
-        write_known(results.get().init_known(), Some(&known));
-        if !params.get()?.get_in_pieces() || document.len() <= PIECE {
+        let Some((held, document)) = self.0.rules() else { return Ok(()) };
+        write_held_version(results.get().init_known(), Some(&held));
+        if !params.get()?.get_in_pieces() || document.len() <= CHUNK_BYTES {
             results.get().set_document(&document);
             return Ok(());
         }
-        results.get().set_document(&document[..PIECE]);
+        results.get().set_document(&document[..CHUNK_BYTES]);
         results.get().set_length(u32::try_from(document.len()).unwrap_or(u32::MAX));
-        results.get().set_rest(capnp_rpc::new_client(Rest(document)));
+        results.get().set_rest(capnp_rpc::new_client(ChunkedDocument(document)));
         Ok(())
     }
 
@@ -93,19 +93,19 @@
         params: fleet::UpstreamsParams,
         mut results: fleet::UpstreamsResults,
     ) -> Result<(), Error> {
-        // No list has the digest 0: it stands for none.
+        // No list has the digest 0; it means that the peer has no list.
         let base = params.get()?.get_base();
         let in_pieces = params.get()?.get_in_pieces();
-        let Some((known, mut told)) = self.0.upstreams((base != 0).then_some(base)) else { return Ok(()) };
-        write_known(results.get().init_known(), Some(&known));
-        if let ListUpdate::Full(list) = &mut told
+        let Some((held, mut update)) = self.0.upstreams((base != 0).then_some(base)) else { return Ok(()) };
+        write_held_version(results.get().init_known(), Some(&held));
+        if let ListUpdate::Full(list) = &mut update
             && in_pieces
-            && list.entries.len() > PIECE_ENTRIES
+            && list.entries.len() > CHUNK_ENTRIES
         {
-            results.get().set_length(count(list.entries.len()));
-            list.entries.truncate(PIECE_ENTRIES);
+            results.get().set_length(list_length(list.entries.len()));
+            list.entries.truncate(CHUNK_ENTRIES);
         }
-        write_list(results.get(), &told);
+        write_list(results.get(), &update);
         Ok(())
     }
 
@@ -115,10 +115,10 @@
         mut results: fleet::ListPieceResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let Some(list) = self.0.list(params.get_digest()) else { return Ok(()) };
-        let from = (params.get_from() as usize).min(list.entries.len());
-        let to = (from + PIECE_ENTRIES).min(list.entries.len());
-        write_entries(results.get().init_list(count(to - from)), &list.entries[from..to]);
+        let Some(list) = self.0.recent_list(params.get_digest()) else { return Ok(()) };
+        let start = (params.get_from() as usize).min(list.entries.len());
+        let end = (start + CHUNK_ENTRIES).min(list.entries.len());
+        write_entries(results.get().init_list(list_length(end - start)), &list.entries[start..end]);
         Ok(())
     }
 
@@ -127,9 +127,9 @@
         _: fleet::ListPartParams,
         mut results: fleet::ListPartResults,
     ) -> Result<(), Error> {
-        let Some(part) = self.0.list_part() else { return Ok(()) };
-        write_drained(results.get().init_drained(count(part.drained.len())), &part.drained);
-        write_entries(results.get().init_list(count(part.entries.len())), &part.entries);
+        let Some(partial) = self.0.partial_list() else { return Ok(()) };
+        write_drained(results.get().init_drained(list_length(partial.drained.len())), &partial.drained);
+        write_entries(results.get().init_list(list_length(partial.entries.len())), &partial.entries);
         Ok(())
     }
 
@@ -139,10 +139,14 @@
         mut results: fleet::ReadsResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let page = ReadsPage { index: params.get_page(), count: params.get_pages() };
-        let Some(reads) = self.0.reads(page) else { return Ok(()) };
+        let page = CachedPartsPage { index: params.get_page(), count: params.get_pages() };
+        let Some(cached_parts) = self.0.cached_parts(page) else { return Ok(()) };
         results.get().set_informed(true);
-        write_all(results.get().init_reads(count(reads.len())), &reads, write_read);
+        write_list_items(
+            results.get().init_reads(list_length(cached_parts.len())),
+            &cached_parts,
+            write_cached_part,
+        );
         Ok(())
     }
 }
--- a/crates/bendhinge_peer/src/lib.rs
+++ b/crates/bendhinge_peer/src/lib.rs
@@ -1,19 +1,19 @@
-//! What routers say to each other: `capnp-rpc` over connections that only holders of the
-//! fleet's shared key can open.
+//! RPC between routers: `capnp-rpc` over connections that are encrypted and authenticated with the
+//! fleet's shared key.
 //!
-//! The objects of `capnp-rpc` stay on one thread: everything here runs on one
+//! The objects of `capnp-rpc` are not [`Send`], so all code of this crate runs on one
 //! [`smol::LocalExecutor`].
 
-mod answering;
-mod calling;
+mod acceptor;
 mod client;
+mod codec;
+mod connector;
 mod convert;
-mod duties;
 mod fleet;
 mod pool;
 mod secure;
 mod server;
-mod squeeze;
+mod service;
 mod traffic;
 
 #[expect(warnings, clippy::all, clippy::pedantic, missing_docs, reason = "generated code is taken as it is")]
@@ -23,13 +23,14 @@
 mod fleet_capnp;
 
 pub use client::{CallError, PeerClient};
-pub use duties::{ClaimRequest, ConfigAnswer, OnceAnswer, PeerDuties, PermitAnswer, Told};
+pub use codec::{DecodeError, FrameCodec};
 pub use fleet::{
-    FleetClient, FleetDuties, Known, ObservedCrash, ObservedDoubt, ObservedFailure, ObservedLoad,
-    ObservedRead, ObservedSends, ObservedSuspicion, PeerMessage, ReadsPage, serve_fleet,
+    CachedPartsPage, FleetClient, FleetService, HeldVersion, ObservedCachedPart, ObservedCrash,
+    ObservedCrashHistory, ObservedFailureEvidence, ObservedFailureReport, ObservedInFlightSends,
+    ObservedLoad, PeerMessage, serve_fleet,
 };
-pub use pool::{PeerConnection, PeerPool, PeerPoolLimits};
-pub use secure::{PeerKey, SecureError};
+pub use pool::{PeerConnection, PeerPool, PeerPoolTimeouts};
+pub use secure::{ConnectError, PeerKey};
 pub use server::serve;
-pub use squeeze::{Squeeze, UnpackError};
-pub use traffic::Traffic;
+pub use service::{ClaimRequest, ClaimResponse, ConfigResponse, PeerService, PermitResponse, Traced};
+pub use traffic::TrafficCounters;
--- a/crates/bendhinge_peer/src/pool.rs
+++ b/crates/bendhinge_peer/src/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to peers, one each, made when first needed.
+//! Pool with one connection per peer, opened on first use.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,70 +13,70 @@
 
 use crate::client::CallError;
 use crate::secure::PeerKey;
-use crate::traffic::Traffic;
+use crate::traffic::TrafficCounters;
 
-/// A client of one kind of peer.
+/// A client that calls a peer over one connection.
 pub trait PeerConnection: Clone {
-    /// Connects to the peer at `address`; each call has `time` to be answered.
+    /// Connects to the peer at `address`. `timeout` limits the connection attempt and each later call.
     fn connect(
         address: SocketAddr,
         key: &PeerKey,
-        time: Duration,
-        traffic: &Arc<Traffic>,
+        timeout: Duration,
+        traffic: &Arc<TrafficCounters>,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> impl Future<Output = Result<Self, CallError>>;
 }
 
-/// The times that a pool depends on.
+/// Timeouts of a [`PeerPool`].
 #[derive(Clone, Copy, Debug)]
-pub struct PeerPoolLimits {
-    /// Time for a connection, and for each call.
+pub struct PeerPoolTimeouts {
+    /// Timeout of a connection attempt and of each call.
     pub call: Duration,
-    /// How long a peer that gave no answer is not asked again: requests must not each wait for
-    /// one that is frozen or gone.
-    pub pause: Duration,
+    /// How long calls fail immediately after an error, so that requests do not wait one by one for a
+    /// peer that hangs or is down.
+    pub backoff: Duration,
 }
 
 struct Slot<C> {
     client: Option<C>,
-    paused_until: Instant,
-    used: Instant,
+    retry_at: Instant,
+    last_used: Instant,
 }
 
 impl<C> Default for Slot<C> {
     fn default() -> Self {
-        Self { client: None, paused_until: Instant::default(), used: Instant::default() }
+        Self { client: None, retry_at: Instant::default(), last_used: Instant::default() }
     }
 }
 
-/// The connections.
+/// Connections to peers, by address.
 pub struct PeerPool<C> {
     key: PeerKey,
-    limits: PeerPoolLimits,
-    traffic: Arc<Traffic>,
+    timeouts: PeerPoolTimeouts,
+    traffic: Arc<TrafficCounters>,
     executor: Rc<LocalExecutor<'static>>,
     slots: RefCell<FxHashMap<SocketAddr, Rc<Mutex<Slot<C>>>>>,
 }
 
 impl<C: PeerConnection> PeerPool<C> {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     #[must_use]
     pub fn new(
         key: PeerKey,
-        limits: PeerPoolLimits,
-        traffic: Arc<Traffic>,
+        timeouts: PeerPoolTimeouts,
+        traffic: Arc<TrafficCounters>,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
-        Self { key, limits, traffic, executor, slots: RefCell::default() }
+        Self { key, timeouts, traffic, executor, slots: RefCell::default() }
     }
 
-    /// The counters of what the connections carry.
+    /// Returns the traffic counters of the connections.
     #[must_use]
-    pub const fn traffic(&self) -> &Arc<Traffic> {
+    pub const fn traffic(&self) -> &Arc<TrafficCounters> {
         &self.traffic
     }
 
-    /// Makes a call to the peer at `address`.
+    /// Calls the peer at `address`. Any error closes the connection.
     pub async fn call<T>(
         &self,
         address: SocketAddr,
@@ -88,38 +88,39 @@
         if result.is_err() {
             let mut slot = slot.lock().await;
             slot.client = None;
-            slot.paused_until = bendhinge_clock::now() + self.limits.pause;
+            slot.retry_at = bendhinge_clock::now() + self.timeouts.backoff;
         }
         result
     }
 
     async fn client(&self, slot: &Mutex<Slot<C>>, address: SocketAddr) -> Result<C, CallError> {
         let mut slot = slot.lock().await;
-        slot.used = bendhinge_clock::now();
+        slot.last_used = bendhinge_clock::now();
         if let Some(client) = &slot.client {
             return Ok(client.clone());
         }
-        let time = self.limits.call;
-        if bendhinge_clock::now() < slot.paused_until {
-            return Err(CallError::Timeout(time));
+        let timeout = self.timeouts.call;
+        if bendhinge_clock::now() < slot.retry_at {
+            return Err(CallError::Timeout(timeout));
         }
-        let connected = C::connect(address, &self.key, time, &self.traffic, &self.executor).await;
+        let connected = C::connect(address, &self.key, timeout, &self.traffic, &self.executor).await;
         match &connected {
             Ok(client) => slot.client = Some(client.clone()),
-            Err(_) => slot.paused_until = bendhinge_clock::now() + self.limits.pause,
+            Err(_) => slot.retry_at = bendhinge_clock::now() + self.timeouts.backoff,
         }
         connected
     }
 
-    /// Drops the connections to peers that are not listed any more.
-    pub fn keep_only(&self, listed: impl Fn(SocketAddr) -> bool) {
-        self.slots.borrow_mut().retain(|address, _| listed(*address));
+    /// Removes the connections to all peers for which `is_listed` returns `false`.
+    pub fn retain(&self, is_listed: impl Fn(SocketAddr) -> bool) {
+        self.slots.borrow_mut().retain(|address, _| is_listed(*address));
     }
 
-    /// Drops connections that were not used for `span`.
-    pub fn drop_unused(&self, span: Duration) {
+    /// Removes connections that have been idle for `max_idle`.
+    pub fn close_idle(&self, max_idle: Duration) {
         let now = bendhinge_clock::now();
-        let is_used = |slot: &Mutex<Slot<C>>| slot.try_lock().is_none_or(|slot| now.since(slot.used) < span);
-        self.slots.borrow_mut().retain(|_, slot| is_used(slot));
+        let is_active =
+            |slot: &Mutex<Slot<C>>| slot.try_lock().is_none_or(|slot| now.since(slot.last_used) < max_idle);
+        self.slots.borrow_mut().retain(|_, slot| is_active(slot));
     }
 }
--- a/crates/bendhinge_peer/src/server.rs
+++ b/crates/bendhinge_peer/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that is asked.
+//! Server of the RPC interface for other routers.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -9,42 +9,42 @@
 use smol::LocalExecutor;
 use smol::net::TcpListener;
 
-use crate::answering::serve_connections;
+use crate::acceptor::serve_connections;
 use crate::convert::{
-    read_claimant, read_digest, read_holder, read_once_key, read_outcome, read_summaries, read_told,
+    read_claimant, read_digest, read_holder, read_once_key, read_outcome, read_summaries, read_traced,
     write_claim, write_summary,
 };
 use crate::peer_capnp::peer;
 use crate::secure::PeerKey;
-use crate::{ClaimRequest, ConfigAnswer, PeerDuties, PermitAnswer, Traffic};
+use crate::{ClaimRequest, ConfigResponse, PeerService, PermitResponse, TrafficCounters};
 
 struct Server<D>(Rc<D>);
 
-/// Serves peers on `listener` for ever.
-pub async fn serve<D: PeerDuties + 'static>(
+/// Serves RPC calls of peers on `listener` indefinitely.
+pub async fn serve<D: PeerService + 'static>(
     listener: TcpListener,
     key: PeerKey,
-    duties: Rc<D>,
-    traffic: Arc<Traffic>,
+    service: Rc<D>,
+    traffic: Arc<TrafficCounters>,
     executor: Rc<LocalExecutor<'static>>,
 ) {
     let bootstrap = || {
-        let client: peer::Client = capnp_rpc::new_client(Server(Rc::clone(&duties)));
+        let client: peer::Client = capnp_rpc::new_client(Server(Rc::clone(&service)));
         client.client
     };
     serve_connections(listener, key, traffic, executor, bootstrap).await;
 }
 
-impl<D: PeerDuties + 'static> peer::Server for Server<D> {
+impl<D: PeerService + 'static> peer::Server for Server<D> {
     async fn exchange(
         self: Rc<Self>,
         params: peer::ExchangeParams,
         mut results: peer::ExchangeResults,
     ) -> Result<(), Error> {
-        let heard = read_summaries(params.get()?.get_summaries()?)?;
-        let answer = self.0.exchange(heard);
-        let mut list = results.get().init_summaries(u32::try_from(answer.len()).unwrap_or(0));
-        for (index, summary) in (0..).zip(&answer) {
+        let received = read_summaries(params.get()?.get_summaries()?)?;
+        let summaries = self.0.exchange(received);
+        let mut list = results.get().init_summaries(u32::try_from(summaries.len()).unwrap_or(0));
+        for (index, summary) in (0..).zip(&summaries) {
             write_summary(list.reborrow().get(index), summary);
         }
         Ok(())
@@ -63,20 +63,20 @@
             first_choice_of: params.get_first_choice().then_some(ChatKey(params.get_chat())),
             limit: params.get_limit(),
         };
-        let told = self.0.acquire(read_told(request, params.get_holder()?));
-        let mut answer = results.get().init_answer();
-        answer.set_event(told.event.0);
-        match told.message {
-            PermitAnswer::Granted(granted) => {
-                answer.set_granted(granted.permit.0);
-                answer.set_in_progress(granted.in_progress);
+        let traced = self.0.acquire(read_traced(request, params.get_holder()?));
+        let mut response = results.get().init_answer();
+        response.set_event(traced.event.0);
+        match traced.message {
+            PermitResponse::Granted(grant) => {
+                response.set_granted(grant.permit.0);
+                response.set_in_progress(grant.in_progress);
             }
-            PermitAnswer::AtBound { in_progress } => {
-                answer.set_at_bound(());
-                answer.set_in_progress(in_progress);
+            PermitResponse::AtBound { in_progress } => {
+                response.set_at_bound(());
+                response.set_in_progress(in_progress);
             }
-            PermitAnswer::Elsewhere(upstream) => answer.set_elsewhere(upstream.as_str()),
-            PermitAnswer::NotOwner => answer.set_not_owner(()),
+            PermitResponse::Redirect(upstream) => response.set_elsewhere(upstream.as_str()),
+            PermitResponse::NotOwner => response.set_not_owner(()),
         }
         Ok(())
     }
@@ -97,9 +97,9 @@
         _: peer::DisplacedResults,
     ) -> Result<(), Error> {
         let params = params.get()?;
-        let place = params.get_upstream()?.to_str()?.parse();
-        let place = place.map_err(|_| Error::failed("invalid upstream".to_owned()))?;
-        self.0.displaced(ChatKey(params.get_chat()), place);
+        let location = params.get_upstream()?.to_str()?.parse();
+        let location = location.map_err(|_| Error::failed("invalid upstream".to_owned()))?;
+        self.0.record_displaced(ChatKey(params.get_chat()), location);
         Ok(())
     }
 
@@ -114,9 +114,9 @@
             holder: read_holder(params.get_holder()?)?,
             declared_first: params.get_declared_first(),
         };
-        let told = self.0.claim_once(read_told(request, params.get_holder()?));
-        results.get().set_claim(write_claim(told.message));
-        results.get().set_event(told.event.0);
+        let traced = self.0.claim_once(read_traced(request, params.get_holder()?));
+        results.get().set_claim(write_claim(traced.message));
+        results.get().set_event(traced.event.0);
         Ok(())
     }
 
@@ -138,11 +138,11 @@
         mut results: peer::ConfigurationResults,
     ) -> Result<(), Error> {
         let base = read_digest(params.get()?.get_base()?)?;
-        let mut answer = results.get().init_answer();
+        let mut response = results.get().init_answer();
         match self.0.configuration(base) {
-            ConfigAnswer::None => answer.set_none(()),
-            ConfigAnswer::Delta(delta) => answer.set_delta(&delta),
-            ConfigAnswer::Whole(text) => answer.set_whole(text.as_str()),
+            ConfigResponse::None => response.set_none(()),
+            ConfigResponse::Delta(delta) => response.set_delta(&delta),
+            ConfigResponse::Full(text) => response.set_whole(text.as_str()),
         }
         Ok(())
     }
@@ -152,8 +152,8 @@
         params: peer::MembersParams,
         mut results: peer::MembersResults,
     ) -> Result<(), Error> {
-        let newer = self.0.members(params.get()?.get_known());
-        results.get().set_list(&newer.unwrap_or_default());
+        let newer_list = self.0.members(params.get()?.get_known());
+        results.get().set_list(&newer_list.unwrap_or_default());
         Ok(())
     }
 }
--- a/crates/bendhinge_peer/src/traffic.rs
+++ b/crates/bendhinge_peer/src/traffic.rs
@@ -1,65 +1,65 @@
-//! Counters of what the connections between routers carry.
+//! Traffic counters of the connections between routers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counters, shared by all connections of a process.
+/// Traffic counters, shared by all connections of the process.
 #[derive(Debug, Default)]
-pub struct Traffic {
+pub struct TrafficCounters {
     sent_bytes: AtomicU64,
     received_bytes: AtomicU64,
-    foreign: AtomicU64,
+    rejected: AtomicU64,
     open: AtomicU64,
 }
 
-/// One open connection, counted as long as this is held.
-pub(crate) struct OpenConnection(Arc<Traffic>);
+/// Counts a connection as open until dropped.
+pub(crate) struct OpenConnectionGuard(Arc<TrafficCounters>);
 
-impl OpenConnection {
-    pub(crate) fn counted_in(traffic: &Arc<Traffic>) -> Self {
+impl OpenConnectionGuard {
+    pub(crate) fn new(traffic: &Arc<TrafficCounters>) -> Self {
         traffic.open.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(traffic))
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-impl Traffic {
-    pub(crate) fn sent(&self, bytes: usize) {
+impl TrafficCounters {
+    pub(crate) fn record_sent(&self, bytes: usize) {
         self.sent_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn received(&self, bytes: usize) {
+    pub(crate) fn record_received(&self, bytes: usize) {
         self.received_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    pub(crate) fn foreign(&self) {
-        self.foreign.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn record_rejected(&self) {
+        self.rejected.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Bytes sent, without the heads of TCP and IP.
+    /// Returns the number of bytes sent, without TCP and IP headers.
     #[must_use]
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bytes received, likewise.
+    /// Returns the number of bytes received, without TCP and IP headers.
     #[must_use]
     pub fn received_bytes(&self) -> u64 {
         self.received_bytes.load(Ordering::Relaxed)
     }
 
-    /// Connections dropped because their messages were foreign, altered or replayed.
+    /// Returns the number of connections closed because a message failed authentication or decoding.
     #[must_use]
-    pub fn foreign_connections(&self) -> u64 {
-        self.foreign.load(Ordering::Relaxed)
+    pub fn rejected_connections(&self) -> u64 {
+        self.rejected.load(Ordering::Relaxed)
     }
 
-    /// Connections that are open now, those that peers opened among them.
+    /// Returns the number of open connections, including those opened by peers.
     #[must_use]
     pub fn open_connections(&self) -> u64 {
         self.open.load(Ordering::Relaxed)
--- a/crates/bendhinge_peer/tests/connections.rs
+++ b/crates/bendhinge_peer/tests/connections.rs
@@ -1,4 +1,4 @@
-//! A connection that nobody uses any more is closed at both ends.
+//! Connections that are no longer in use are closed at both ends.
 
 use std::net::{Ipv4Addr, Shutdown, SocketAddr};
 use std::rc::Rc;
@@ -7,146 +7,151 @@
 
 use bendhinge_fleet::{ListUpdate, UpstreamList};
 use bendhinge_peer::{
-    FleetClient, FleetDuties, Known, ObservedRead, PeerConnection, PeerKey, PeerMessage, ReadsPage, Traffic,
-    serve_fleet,
+    CachedPartsPage, FleetClient, FleetService, HeldVersion, ObservedCachedPart, PeerConnection, PeerKey,
+    PeerMessage, TrafficCounters, serve_fleet,
 };
 use bytes::Bytes;
 use smol::channel::{Receiver, bounded};
 use smol::net::{TcpListener, TcpStream};
 use smol::{LocalExecutor, Timer};
 
-/// A gateway that knows nothing.
-struct Newcomer;
+/// A gateway without any data.
+struct EmptyGateway;
 
-impl FleetDuties for Newcomer {
+impl FleetService for EmptyGateway {
     fn exchange(&self, message: PeerMessage) -> PeerMessage {
         message
     }
 
-    fn rules(&self) -> Option<(Known, Bytes)> {
+    fn rules(&self) -> Option<(HeldVersion, Bytes)> {
         None
     }
 
-    fn list(&self, _: u64) -> Option<Arc<UpstreamList>> {
+    fn recent_list(&self, _: u64) -> Option<Arc<UpstreamList>> {
         None
     }
 
-    fn list_part(&self) -> Option<Arc<UpstreamList>> {
+    fn partial_list(&self) -> Option<Arc<UpstreamList>> {
         None
     }
 
-    fn upstreams(&self, _: Option<u64>) -> Option<(Known, ListUpdate)> {
+    fn upstreams(&self, _: Option<u64>) -> Option<(HeldVersion, ListUpdate)> {
         None
     }
 
-    fn reads(&self, _: ReadsPage) -> Option<Vec<ObservedRead>> {
+    fn cached_parts(&self, _: CachedPartsPage) -> Option<Vec<ObservedCachedPart>> {
         None
     }
 }
 
-/// Waits until `traffic` counts `open` connections; a test that waits in vain is ended here.
-async fn until_open(traffic: &Traffic, open: u64) {
+/// Waits until `traffic` counts `expected` open connections; panics after a timeout.
+async fn wait_for_open_connections(traffic: &TrafficCounters, expected: u64) {
     for _ in 0..2_000 {
-        if traffic.open_connections() == open {
+        if traffic.open_connections() == expected {
             return;
         }
         Timer::after(Duration::from_millis(5)).await;
     }
-    panic!("{} connections are open, expected {open}", traffic.open_connections());
+    panic!("{} connections are open, expected {expected}", traffic.open_connections());
 }
 
-/// A gateway that is asked, and what asks it.
-struct Pair {
+/// A serving gateway and the settings of its clients.
+struct TestServer {
     key: PeerKey,
     address: SocketAddr,
-    asked: Arc<Traffic>,
-    asking: Arc<Traffic>,
+    server_traffic: Arc<TrafficCounters>,
+    client_traffic: Arc<TrafficCounters>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
-impl Pair {
-    /// A gateway that is asked on `executor`.
+impl TestServer {
+    /// Starts a gateway on `executor`.
     async fn start(executor: &Rc<LocalExecutor<'static>>) -> Self {
         let key = PeerKey::new("a key for this test alone");
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let asked = Arc::new(Traffic::default());
-        let serving =
-            serve_fleet(listener, key.clone(), Rc::new(Newcomer), Arc::clone(&asked), Rc::clone(executor));
+        let server_traffic = Arc::new(TrafficCounters::default());
+        let serving = serve_fleet(
+            listener,
+            key.clone(),
+            Rc::new(EmptyGateway),
+            Arc::clone(&server_traffic),
+            Rc::clone(executor),
+        );
         executor.spawn(serving).detach();
-        Self { key, address, asked, asking: Arc::default(), executor: Rc::clone(executor) }
+        Self { key, address, server_traffic, client_traffic: Arc::default(), executor: Rc::clone(executor) }
     }
 
-    /// A client of what listens at `address`.
+    /// Connects a client to `address`.
     async fn client(&self, address: SocketAddr) -> FleetClient {
-        let time = Duration::from_secs(20);
-        FleetClient::connect(address, &self.key, time, &self.asking, &self.executor).await.unwrap()
+        let timeout = Duration::from_secs(20);
+        FleetClient::connect(address, &self.key, timeout, &self.client_traffic, &self.executor).await.unwrap()
     }
 
-    /// Waits until no connection is open at either end.
-    async fn until_closed(&self) {
-        until_open(&self.asking, 0).await;
-        until_open(&self.asked, 0).await;
+    /// Waits until both ends have closed all connections.
+    async fn wait_until_closed(&self) {
+        wait_for_open_connections(&self.client_traffic, 0).await;
+        wait_for_open_connections(&self.server_traffic, 0).await;
     }
 }
 
 #[test]
-fn a_dropped_client_closes_its_connection() {
+fn dropping_the_last_clone_of_a_client_closes_its_connection() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
-        let pair = Pair::start(&executor).await;
+        let gateway = TestServer::start(&executor).await;
         for _ in 0..20 {
-            let client = pair.client(pair.address).await;
+            let client = gateway.client(gateway.address).await;
             assert_eq!(client.rules().await.unwrap(), None);
-            let other = client.clone();
+            let clone = client.clone();
             drop(client);
-            assert_eq!(other.rules().await.unwrap(), None, "a clone keeps the connection");
+            assert_eq!(clone.rules().await.unwrap(), None, "a clone keeps the connection open");
         }
-        pair.until_closed().await;
+        gateway.wait_until_closed().await;
     }));
 }
 
-/// Passes one connection on to `server` until told to cut both ends.
-async fn pass_on(listener: &TcpListener, server: SocketAddr, cut: Receiver<()>) {
-    let (near, _) = listener.accept().await.unwrap();
-    let far = TcpStream::connect(server).await.unwrap();
-    let passing = async {
+/// Forwards one connection to `server` until `cut` receives a message, then closes both sides.
+async fn forward_connection(listener: &TcpListener, server: SocketAddr, cut: Receiver<()>) {
+    let (inbound, _) = listener.accept().await.unwrap();
+    let outbound = TcpStream::connect(server).await.unwrap();
+    let forwarding = async {
         let _ = smol::future::zip(
-            smol::io::copy(near.clone(), far.clone()),
-            smol::io::copy(far.clone(), near.clone()),
+            smol::io::copy(inbound.clone(), outbound.clone()),
+            smol::io::copy(outbound.clone(), inbound.clone()),
         )
         .await;
     };
-    let cutting = async {
+    let cut_requested = async {
         let _ = cut.recv().await;
     };
-    smol::future::or(passing, cutting).await;
-    let _ = near.shutdown(Shutdown::Both);
-    let _ = far.shutdown(Shutdown::Both);
+    smol::future::or(forwarding, cut_requested).await;
+    let _ = inbound.shutdown(Shutdown::Both);
+    let _ = outbound.shutdown(Shutdown::Both);
 }
 
 #[test]
-fn a_client_may_be_dropped_while_its_connection_is_cut() {
+fn dropping_a_client_while_its_connection_is_cut_does_not_panic() {
     let executor = Rc::new(LocalExecutor::new());
     smol::block_on(executor.run(async {
-        let pair = Pair::start(&executor).await;
-        let server = pair.address;
+        let gateway = TestServer::start(&executor).await;
+        let server = gateway.address;
         let proxy = Rc::new(TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap());
         let address = proxy.local_addr().unwrap();
-        for turns in 0..60 {
-            let (cut, told_to_cut) = bounded(1);
+        for yields in 0..60 {
+            let (cut, cut_receiver) = bounded(1);
             let proxy = Rc::clone(&proxy);
-            let passing = async move { pass_on(&proxy, server, told_to_cut).await };
-            let passing = executor.spawn(passing);
-            let client = pair.client(address).await;
+            let forwarding = async move { forward_connection(&proxy, server, cut_receiver).await };
+            let forwarding = executor.spawn(forwarding);
+            let client = gateway.client(address).await;
             assert_eq!(client.rules().await.unwrap(), None);
             cut.send(()).await.unwrap();
-            for _ in 0..turns {
+            for _ in 0..yields {
                 smol::future::yield_now().await;
             }
             drop(client);
-            passing.await;
+            forwarding.await;
         }
-        pair.until_closed().await;
+        gateway.wait_until_closed().await;
     }));
 }
--- a/crates/bendhinge_router/src/configuration/mod.rs
+++ b/crates/bendhinge_router/src/configuration/mod.rs
@@ -6,7 +6,7 @@
 
 use bendhinge_configuration::{Adoption, Configuration, Delta, Offer, SealError};
 use bendhinge_ids::{ConfigRevision, Digest};
-use bendhinge_peer::ConfigAnswer;
+use bendhinge_peer::ConfigResponse;
 use bendhinge_timeline::EventKind;
 use opentelemetry::KeyValue;
 
@@ -111,26 +111,26 @@
 }
 
 /// What a peer whose latest document is `base` should be sent.
-pub(crate) fn answer_peer(node: &Node, base: Digest) -> ConfigAnswer {
+pub(crate) fn answer_peer(node: &Node, base: Digest) -> ConfigResponse {
     let state = node.configuration.lock().unwrap();
-    let Some(latest) = state.adoption.latest() else { return ConfigAnswer::None };
+    let Some(latest) = state.adoption.latest() else { return ConfigResponse::None };
     if latest.digest == base {
-        return ConfigAnswer::None;
+        return ConfigResponse::None;
     }
     let known = state.recent.iter().find(|document| document.digest == base);
     let delta = known.map(|known| Delta::between(&known.text, &latest.text));
     match delta.filter(|delta| delta.size() < latest.text.len()) {
-        Some(delta) => ConfigAnswer::Delta(serde_json::to_vec(&delta).unwrap_or_default()),
-        None => ConfigAnswer::Whole(latest.text.clone()),
+        Some(delta) => ConfigResponse::Delta(serde_json::to_vec(&delta).unwrap_or_default()),
+        None => ConfigResponse::Full(latest.text.clone()),
     }
 }
 
 /// Takes in a peer's answer to a question that named this router's latest document.
-pub(crate) fn take_answer(node: &Node, from: &str, answer: ConfigAnswer) {
+pub(crate) fn take_answer(node: &Node, from: &str, answer: ConfigResponse) {
     match answer {
-        ConfigAnswer::None => {}
-        ConfigAnswer::Whole(text) => take_in(node, from, &text),
-        ConfigAnswer::Delta(bytes) => {
+        ConfigResponse::None => {}
+        ConfigResponse::Full(text) => take_in(node, from, &text),
+        ConfigResponse::Delta(bytes) => {
             // A delta from another base or a damaged one is dropped; the next exchange asks again.
             let delta = serde_json::from_slice::<Delta>(&bytes).ok();
             let latest =
--- a/crates/bendhinge_router/src/control/calls.rs
+++ b/crates/bendhinge_router/src/control/calls.rs
@@ -4,7 +4,7 @@
 
 use bendhinge_delivery::{Claimant, OnceKey, OnceOutcome};
 use bendhinge_ids::{ChatKey, PermitId, UpstreamName};
-use bendhinge_peer::{CallError, ClaimRequest, OnceAnswer, PermitAnswer, Told};
+use bendhinge_peer::{CallError, ClaimRequest, ClaimResponse, PermitResponse, Traced};
 use bendhinge_placement::PermitRequest;
 use smol::channel::{Receiver, Sender, bounded};
 
@@ -15,13 +15,13 @@
 /// permit lapses with its lease, and a claim stays taken.
 pub(crate) enum ControlCall {
     /// Ask for a permit.
-    Acquire { address: SocketAddr, told: Told<PermitRequest>, reply: Sender<Told<PermitAnswer>> },
+    Acquire { address: SocketAddr, told: Traced<PermitRequest>, reply: Sender<Traced<PermitResponse>> },
     /// Return a permit.
     Release { address: SocketAddr, permit: PermitId },
     /// Tell where a displaced chat went.
     Displaced { address: SocketAddr, chat: ChatKey, place: UpstreamName },
     /// Claim an idempotency key.
-    Claim { address: SocketAddr, told: Told<ClaimRequest>, reply: Sender<Told<OnceAnswer>> },
+    Claim { address: SocketAddr, told: Traced<ClaimRequest>, reply: Sender<Traced<ClaimResponse>> },
     /// Settle a claim.
     Settle { address: SocketAddr, key: OnceKey, claimant: Claimant, outcome: OnceOutcome },
 }
@@ -35,8 +35,8 @@
 pub(crate) async fn acquire(
     node: &Node,
     address: SocketAddr,
-    told: Told<PermitRequest>,
-) -> Option<Told<PermitAnswer>> {
+    told: Traced<PermitRequest>,
+) -> Option<Traced<PermitResponse>> {
     let (reply, answer) = bounded(1);
     send(node, ControlCall::Acquire { address, told, reply });
     answer.recv().await.ok()
@@ -46,8 +46,8 @@
 pub(crate) async fn claim(
     node: &Node,
     address: SocketAddr,
-    told: Told<ClaimRequest>,
-) -> Option<Told<OnceAnswer>> {
+    told: Traced<ClaimRequest>,
+) -> Option<Traced<ClaimResponse>> {
     let (reply, answer) = bounded(1);
     send(node, ControlCall::Claim { address, told, reply });
     answer.recv().await.ok()
@@ -69,7 +69,7 @@
             control.peers.call(address, async |peer| peer.release(&[permit]).await).await
         }
         ControlCall::Displaced { address, chat, place } => {
-            control.peers.call(address, async |peer| peer.displaced(chat, &place).await).await
+            control.peers.call(address, async |peer| peer.record_displaced(chat, &place).await).await
         }
         ControlCall::Settle { address, key, claimant, outcome } => {
             control.peers.call(address, async |peer| peer.settle_once(key, &claimant, outcome).await).await
@@ -80,12 +80,12 @@
 async fn acquire_from(
     control: &Control,
     address: SocketAddr,
-    told: &Told<PermitRequest>,
-    reply: &Sender<Told<PermitAnswer>>,
+    told: &Traced<PermitRequest>,
+    reply: &Sender<Traced<PermitResponse>>,
 ) -> Result<(), CallError> {
     let answer = control.peers.call(address, async |peer| peer.acquire(told).await).await?;
     let granted = match answer.message {
-        PermitAnswer::Granted(granted) => Some(granted.permit),
+        PermitResponse::Granted(granted) => Some(granted.permit),
         _ => None,
     };
     let unheard = reply.send(answer).await.is_err();
@@ -99,8 +99,8 @@
 async fn claim_from(
     control: &Control,
     address: SocketAddr,
-    told: &Told<ClaimRequest>,
-    reply: &Sender<Told<OnceAnswer>>,
+    told: &Traced<ClaimRequest>,
+    reply: &Sender<Traced<ClaimResponse>>,
 ) -> Result<(), CallError> {
     let answer = control.peers.call(address, async |peer| peer.claim_once(told).await).await?;
     let _ = reply.send(answer).await;
--- a/crates/bendhinge_router/src/control/duties.rs
+++ b/crates/bendhinge_router/src/control/duties.rs
@@ -5,7 +5,7 @@
 use bendhinge_delivery::{Claimant, OnceKey, OnceOutcome};
 use bendhinge_ids::{ChatKey, Digest, PermitId, UpstreamName};
 use bendhinge_membership::Summary;
-use bendhinge_peer::{ClaimRequest, ConfigAnswer, OnceAnswer, PeerDuties, PermitAnswer, Told};
+use bendhinge_peer::{ClaimRequest, ClaimResponse, ConfigResponse, PeerService, PermitResponse, Traced};
 use bendhinge_placement::PermitRequest;
 
 use crate::node::Node;
@@ -21,13 +21,13 @@
     }
 }
 
-impl PeerDuties for Duties {
+impl PeerService for Duties {
     fn exchange(&self, summaries: Vec<Summary>) -> Vec<Summary> {
         membership::hear(&self.node, summaries);
         membership::tell(&self.node)
     }
 
-    fn acquire(&self, request: Told<PermitRequest>) -> Told<PermitAnswer> {
+    fn acquire(&self, request: Traced<PermitRequest>) -> Traced<PermitResponse> {
         placement::answer_peer(&self.node, request)
     }
 
@@ -38,11 +38,11 @@
         }
     }
 
-    fn displaced(&self, chat: ChatKey, place: UpstreamName) {
+    fn record_displaced(&self, chat: ChatKey, place: UpstreamName) {
         placement::note_displaced(&self.node, chat, &place);
     }
 
-    fn claim_once(&self, request: Told<ClaimRequest>) -> Told<OnceAnswer> {
+    fn claim_once(&self, request: Traced<ClaimRequest>) -> Traced<ClaimResponse> {
         delivery::answer_claim(&self.node, request)
     }
 
@@ -50,7 +50,7 @@
         delivery::answer_settle(&self.node, key, &claimant, outcome);
     }
 
-    fn configuration(&self, base: Digest) -> ConfigAnswer {
+    fn configuration(&self, base: Digest) -> ConfigResponse {
         configuration::answer_peer(&self.node, base)
     }
 
--- a/crates/bendhinge_router/src/control/housekeeping.rs
+++ b/crates/bendhinge_router/src/control/housekeeping.rs
@@ -45,9 +45,7 @@
     let fleet = node.fleet();
     if settled || health_changed || counting != fleet.counting {
         membership::rebuild_fleet(node);
-        control
-            .peers
-            .keep_only(|address| node.fleet().routers.iter().any(|router| router.address == address));
+        control.peers.retain(|address| node.fleet().routers.iter().any(|router| router.address == address));
     }
 }
 
--- a/crates/bendhinge_router/src/control/mod.rs
+++ b/crates/bendhinge_router/src/control/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bendhinge_ids::{BoxName, RouterIncarnation};
-use bendhinge_peer::{PeerClient, PeerPool, PeerPoolLimits};
+use bendhinge_peer::{PeerClient, PeerPool, PeerPoolTimeouts};
 use smol::LocalExecutor;
 use smol::channel::Receiver;
 use smol::net::TcpListener;
@@ -41,7 +41,7 @@
     stopped: &Receiver<()>,
 ) {
     let executor = Rc::new(LocalExecutor::new());
-    let limits = PeerPoolLimits { call: node.settings.control.call, pause: PAUSE_AFTER_FAILURE };
+    let limits = PeerPoolTimeouts { call: node.settings.control.call, backoff: PAUSE_AFTER_FAILURE };
     let key = node.settings.keys.peers.clone();
     let peers = PeerPool::new(key, limits, Arc::clone(&node.traffic), Rc::clone(&executor));
     let control = Control { node: Arc::clone(node), peers: Rc::new(peers), executor: Rc::clone(&executor) };
--- a/crates/bendhinge_router/src/delivery/once.rs
+++ b/crates/bendhinge_router/src/delivery/once.rs
@@ -6,7 +6,7 @@
 use bendhinge_codes::ResultCode;
 use bendhinge_delivery::{Claim, Claimant, OnceKey, OnceOutcome};
 use bendhinge_ids::{BoxName, RequestId};
-use bendhinge_peer::{ClaimRequest, OnceAnswer, Told};
+use bendhinge_peer::{ClaimRequest, ClaimResponse, Traced};
 use bendhinge_placement::owner_of;
 use bendhinge_timeline::EventKind;
 use opentelemetry::KeyValue;
@@ -68,7 +68,7 @@
     let event = node.note_request(turn.request, asked);
     let message =
         ClaimRequest { key: mark.key, holder: node.life.clone(), declared_first: mark.declared_first };
-    let told = Told { message, event, request: turn.request };
+    let told = Traced { message, event, request: turn.request };
     let (answer, keeper) = if *owner == node.life.name {
         (Some(answer_claim(node, told)), Keeper::Own)
     } else {
@@ -91,31 +91,33 @@
     }
 }
 
-const fn refusal(answer: OnceAnswer) -> Option<ResultCode> {
+const fn refusal(answer: ClaimResponse) -> Option<ResultCode> {
     match answer {
-        OnceAnswer::Claim(Claim::Granted) => None,
-        OnceAnswer::Claim(Claim::AlreadyTaken) => Some(ResultCode::OnceAlreadyTaken),
-        OnceAnswer::Claim(Claim::AlreadyRan) => Some(ResultCode::OnceAlreadyRan),
-        OnceAnswer::Claim(Claim::Full) => Some(ResultCode::OnceFull),
-        OnceAnswer::Claim(Claim::CannotVouch) | OnceAnswer::NotOwner => Some(ResultCode::OnceCannotVouch),
+        ClaimResponse::Claim(Claim::Granted) => None,
+        ClaimResponse::Claim(Claim::AlreadyTaken) => Some(ResultCode::OnceAlreadyTaken),
+        ClaimResponse::Claim(Claim::AlreadyRan) => Some(ResultCode::OnceAlreadyRan),
+        ClaimResponse::Claim(Claim::Full) => Some(ResultCode::OnceFull),
+        ClaimResponse::Claim(Claim::CannotVouch) | ClaimResponse::NotOwner => {
+            Some(ResultCode::OnceCannotVouch)
+        }
     }
 }
 
 /// Decides on a claim as the owner of its key.
-pub(crate) fn answer_claim(node: &Node, told: Told<ClaimRequest>) -> Told<OnceAnswer> {
-    let Told { message, event, request } = told;
+pub(crate) fn answer_claim(node: &Node, told: Traced<ClaimRequest>) -> Traced<ClaimResponse> {
+    let Traced { message, event, request } = told;
     let claimant = Claimant { life: message.holder.clone(), request };
     let answer = decide(node, &message, &claimant);
     node.metrics.claims.add(1, &[KeyValue::new("claim", answer.as_str())]);
     let kind = EventKind::ClaimDecided { claim: answer.as_str().to_owned() };
     let event = node.note_caused(request, link(&message.holder, event), kind);
-    Told { message: answer, event, request }
+    Traced { message: answer, event, request }
 }
 
-fn decide(node: &Node, request: &ClaimRequest, claimant: &Claimant) -> OnceAnswer {
+fn decide(node: &Node, request: &ClaimRequest, claimant: &Claimant) -> ClaimResponse {
     // An owner that was frozen may have been replaced on the list meanwhile.
     if !node.is_fresh() {
-        return OnceAnswer::NotOwner;
+        return ClaimResponse::NotOwner;
     }
     let now = bendhinge_clock::now();
     let text = request.key.as_text();
@@ -125,13 +127,13 @@
         (owns(membership.history.boxes()), membership.history.vouches(now, owns))
     };
     if !is_owner {
-        return OnceAnswer::NotOwner;
+        return ClaimResponse::NotOwner;
     }
     let vouched = owned_for_window || request.declared_first;
     let mut once = node.once.lock().unwrap();
     let claim = once.claim(request.key, claimant, vouched, now);
     node.metrics.once_keys.set(once.len() as u64);
-    OnceAnswer::Claim(claim)
+    ClaimResponse::Claim(claim)
 }
 
 /// Settles a claim as the owner of its key.
--- a/crates/bendhinge_router/src/metrics.rs
+++ b/crates/bendhinge_router/src/metrics.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicI64, Ordering};
 
 use bendhinge_codes::ResultCode;
-use bendhinge_peer::Traffic;
+use bendhinge_peer::TrafficCounters;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Histogram, Meter, MeterProvider as _};
 use opentelemetry_sdk::Resource;
@@ -68,7 +68,7 @@
 }
 
 impl Metrics {
-    pub(crate) fn new(traffic: &Arc<Traffic>) -> Result<Self, MetricsError> {
+    pub(crate) fn new(traffic: &Arc<TrafficCounters>) -> Result<Self, MetricsError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone()).build();
         let exporter = exporter.map_err(|error| MetricsError(error.to_string()))?;
@@ -128,19 +128,23 @@
     }
 }
 
-fn observe_traffic(meter: &Meter, traffic: &Arc<Traffic>) {
-    let observe = |name: &'static str, help: &'static str, read: fn(&Traffic) -> u64| {
+fn observe_traffic(meter: &Meter, traffic: &Arc<TrafficCounters>) {
+    let observe = |name: &'static str, help: &'static str, read: fn(&TrafficCounters) -> u64| {
         let traffic = Arc::clone(traffic);
         let callback = move |observer: &dyn opentelemetry::metrics::AsyncInstrument<u64>| {
             observer.observe(read(&traffic), &[]);
         };
         meter.u64_observable_counter(name).with_description(help).with_callback(callback).build();
     };
-    observe("bendhinge.peer_sent_bytes", "Bytes sent to other routers", Traffic::sent_bytes);
-    observe("bendhinge.peer_received_bytes", "Bytes received from other routers", Traffic::received_bytes);
+    observe("bendhinge.peer_sent_bytes", "Bytes sent to other routers", TrafficCounters::sent_bytes);
+    observe(
+        "bendhinge.peer_received_bytes",
+        "Bytes received from other routers",
+        TrafficCounters::received_bytes,
+    );
     observe(
         "bendhinge.peer_foreign",
         "Connections dropped as foreign or replayed",
-        Traffic::foreign_connections,
+        TrafficCounters::rejected_connections,
     );
 }
--- a/crates/bendhinge_router/src/node.rs
+++ b/crates/bendhinge_router/src/node.rs
@@ -10,7 +10,7 @@
 use bendhinge_http::{Pool, Tasks};
 use bendhinge_ids::{EventSequence, RequestId, RouterIncarnation};
 use bendhinge_membership::{Freshness, FreshnessLimits};
-use bendhinge_peer::Traffic;
+use bendhinge_peer::TrafficCounters;
 use bendhinge_placement::{LedgerLimits, LoadView, PermitLedger, PermitRequestBudget};
 use bendhinge_timeline::{EventKind, EventLink, ProcessId, Record};
 use smol::channel::Sender;
@@ -34,7 +34,7 @@
     pub(crate) tasks: Tasks,
     pub(crate) record: Record,
     pub(crate) metrics: Metrics,
-    pub(crate) traffic: Arc<Traffic>,
+    pub(crate) traffic: Arc<TrafficCounters>,
     pub(crate) upstreams: Pool,
     pub(crate) calls: Sender<ControlCall>,
     pub(crate) stopping: AtomicBool,
@@ -59,7 +59,7 @@
     pub(crate) life: RouterIncarnation,
     pub(crate) tasks: Tasks,
     pub(crate) metrics: Metrics,
-    pub(crate) traffic: Arc<Traffic>,
+    pub(crate) traffic: Arc<TrafficCounters>,
     pub(crate) calls: Sender<ControlCall>,
 }
 
--- a/crates/bendhinge_router/src/operators/mod.rs
+++ b/crates/bendhinge_router/src/operators/mod.rs
@@ -119,7 +119,7 @@
         permits_outstanding: node.ledger.lock().unwrap().outstanding(),
         peer_sent_bytes: node.traffic.sent_bytes(),
         peer_received_bytes: node.traffic.received_bytes(),
-        peer_foreign: node.traffic.foreign_connections(),
+        peer_foreign: node.traffic.rejected_connections(),
     }
 }
 
--- a/crates/bendhinge_router/src/placement/permit.rs
+++ b/crates/bendhinge_router/src/placement/permit.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use bendhinge_ids::{ChatKey, PermitId, RequestId, UpstreamName};
-use bendhinge_peer::{PermitAnswer, Told};
+use bendhinge_peer::{PermitResponse, Traced};
 use bendhinge_placement::{PermitDenied, PermitRequest};
 use bendhinge_timeline::EventKind;
 use opentelemetry::KeyValue;
@@ -119,12 +119,12 @@
     let upstream = message.upstream.to_string();
     let asked = EventKind::PermitAsked { upstream: upstream.clone(), owner: owner.name.to_string() };
     let event = node.note_request(question.request, asked);
-    let told = Told { message, event, request: question.request };
+    let told = Traced { message, event, request: question.request };
     let Some(answer) = control::acquire(node, owner.address, told).await else {
         return Asked::NoWord;
     };
     match answer.message {
-        PermitAnswer::Granted(granted) => {
+        PermitResponse::Granted(granted) => {
             // The count includes this request, which the permit counts in.
             learn(node, question.target, granted.in_progress.saturating_sub(1));
             let life = control::life_of(node, &owner.name);
@@ -135,12 +135,12 @@
             };
             Asked::Granted(Permit::new(node, question.target, Origin::Peer(owner.address, granted.permit)))
         }
-        PermitAnswer::AtBound { in_progress } => {
+        PermitResponse::AtBound { in_progress } => {
             learn(node, question.target, in_progress);
             Asked::AtBound
         }
-        PermitAnswer::Elsewhere(place) => Asked::Elsewhere(place),
-        PermitAnswer::NotOwner => Asked::NoWord,
+        PermitResponse::Redirect(place) => Asked::Elsewhere(place),
+        PermitResponse::NotOwner => Asked::NoWord,
     }
 }
 
@@ -149,8 +149,8 @@
 }
 
 /// Answers a peer's question for a permit.
-pub(crate) fn answer_peer(node: &Node, told: Told<PermitRequest>) -> Told<PermitAnswer> {
-    let Told { message, event, request } = told;
+pub(crate) fn answer_peer(node: &Node, told: Traced<PermitRequest>) -> Traced<PermitResponse> {
+    let Traced { message, event, request } = told;
     let upstream = message.upstream.to_string();
     let owns = node
         .fleet()
@@ -158,27 +158,29 @@
         .iter()
         .any(|target| target.name == message.upstream && target.owner == Owner::Own);
     // A router that was frozen does not know whether another counts by now.
-    let answer = if owns && node.is_fresh() { count(node, &message) } else { PermitAnswer::NotOwner };
+    let answer = if owns && node.is_fresh() { count(node, &message) } else { PermitResponse::NotOwner };
     let kind = match &answer {
-        PermitAnswer::Granted(granted) => {
+        PermitResponse::Granted(granted) => {
             EventKind::PermitGranted { upstream, in_progress: granted.in_progress }
         }
-        PermitAnswer::AtBound { in_progress } => {
+        PermitResponse::AtBound { in_progress } => {
             EventKind::PermitDenied { upstream, reason: format!("at bound with {in_progress}") }
         }
-        PermitAnswer::Elsewhere(place) => {
+        PermitResponse::Redirect(place) => {
             EventKind::PermitDenied { upstream, reason: format!("displaced to {place}") }
         }
-        PermitAnswer::NotOwner => EventKind::PermitDenied { upstream, reason: "not counted here".to_owned() },
+        PermitResponse::NotOwner => {
+            EventKind::PermitDenied { upstream, reason: "not counted here".to_owned() }
+        }
     };
     let event = node.note_caused(request, link(&message.holder, event), kind);
-    Told { message: answer, event, request }
+    Traced { message: answer, event, request }
 }
 
-fn count(node: &Node, request: &PermitRequest) -> PermitAnswer {
+fn count(node: &Node, request: &PermitRequest) -> PermitResponse {
     match node.ledger.lock().unwrap().acquire(request, bendhinge_clock::now()) {
-        Ok(granted) => PermitAnswer::Granted(granted),
-        Err(PermitDenied::AtBound { in_progress }) => PermitAnswer::AtBound { in_progress },
-        Err(PermitDenied::Redirect(place)) => PermitAnswer::Elsewhere(place),
+        Ok(granted) => PermitResponse::Granted(granted),
+        Err(PermitDenied::AtBound { in_progress }) => PermitResponse::AtBound { in_progress },
+        Err(PermitDenied::Redirect(place)) => PermitResponse::Redirect(place),
     }
 }
--- a/crates/bendhinge_router/src/run.rs
+++ b/crates/bendhinge_router/src/run.rs
@@ -8,7 +8,7 @@
 use bendhinge_codes::ExitStatus;
 use bendhinge_http::{ServeLimits, Server, Tasks, run_until, termination};
 use bendhinge_ids::{Incarnation, RouterIncarnation};
-use bendhinge_peer::Traffic;
+use bendhinge_peer::TrafficCounters;
 use bendhinge_timeline::EventKind;
 use futures_lite::FutureExt;
 use smol::Timer;
@@ -77,7 +77,7 @@
 
 fn serve(settings: Settings) -> Result<(), StartError> {
     let tasks = Tasks::default();
-    let traffic = Arc::new(Traffic::default());
+    let traffic = Arc::new(TrafficCounters::default());
     let (calls, received_calls) = unbounded();
     let (stop_control, control_stopped) = bounded::<()>(1);
     let life = RouterIncarnation { name: settings.name.clone(), incarnation: new_incarnation() };
