--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{Contact, ListUpdate, Origin, Reach, UpstreamList};
-use bendhinge_peer::{FleetDuties, Known, ObservedRead, PeerMessage, ReadsPage};
+use bendhinge_peer::{CachedPartsPage, FleetService, HeldVersion, ObservedCachedPart, PeerMessage};
 use bytes::Bytes;
 use futures_lite::FutureExt;
 use rand::Rng;
@@ -52,7 +52,7 @@
         }
         round = round.wrapping_add(1);
         Timer::after(round_interval(&control)).await;
-        control.peers.drop_unused(IDLE_CONNECTION_TIMEOUT);
+        control.peers.close_idle(IDLE_CONNECTION_TIMEOUT);
     }
 }
 
@@ -190,7 +190,7 @@
     fn sender_has_fresher_evidence(&self, message: &PeerMessage) -> bool {
         // Evidence counts only if it is not overdue itself. If any younger evidence counted,
         // notifications would circulate endlessly while no gateway reaches the store.
-        let is_fresher = |reported: Option<Known>, held: Option<Known>, max_age: Duration| {
+        let is_fresher = |reported: Option<HeldVersion>, held: Option<HeldVersion>, max_age: Duration| {
             reported.zip(held).is_some_and(|(reported, held)| {
                 reported.version == held.version && held.age > max_age && reported.age < max_age
             })
@@ -206,14 +206,14 @@
     /// exchange.
     fn record_exchange(&self, address: SocketAddr, message: &PeerMessage, response: &PeerMessage) {
         let mut peers = self.peer_states.borrow_mut();
-        if let Some(sent) = message.told {
+        if let Some(sent) = message.sent_position {
             peers.record_acknowledged(
                 address,
-                response.told.map(|position| position.incarnation),
+                response.sent_position.map(|position| position.incarnation),
                 sent.sequence,
             );
         }
-        if let Some(received) = response.told {
+        if let Some(received) = response.sent_position {
             peers.record_received(address, received);
         }
     }
@@ -228,19 +228,19 @@
 /// Answers the calls of peers.
 pub(super) struct PeerRequestHandler(pub(super) Rc<ControlPlane>);
 
-impl FleetDuties for PeerRequestHandler {
+impl FleetService for PeerRequestHandler {
     fn exchange(&self, message: PeerMessage) -> PeerMessage {
         merge_message(&self.0, &message, None);
         let control = Rc::clone(&self.0);
         let address = message.sender.address;
         let delivering = &self.0.delivering;
         let has_fresher_evidence = control.sender_has_fresher_evidence(&message);
-        let has_updates = message.is_begun && !delivering.upstreams.has_list_or_partial()
+        let has_updates = message.has_partial_list && !delivering.upstreams.has_list_or_partial()
             || message.rules.is_some_and(|known| delivering.rules.needs(known.version))
             || message.upstreams.is_some_and(|known| delivering.upstreams.needs(known.version));
         let now = bendhinge_clock::now();
         let content = match &message {
-            message if message.is_brief => MessageContent::Brief,
+            message if message.is_announcement => MessageContent::Brief,
             message if message.is_probe => MessageContent::Members,
             _ => MessageContent::Full,
         };
@@ -260,28 +260,28 @@
         response
     }
 
-    fn rules(&self) -> Option<(Known, Bytes)> {
+    fn rules(&self) -> Option<(HeldVersion, Bytes)> {
         let rules = &self.0.delivering.rules;
         let known = rules.held_version(bendhinge_clock::now())?;
         Some((known, rules.current()?.document.clone()))
     }
 
-    fn reads(&self, page: ReadsPage) -> Option<Vec<ObservedRead>> {
+    fn cached_parts(&self, page: CachedPartsPage) -> Option<Vec<ObservedCachedPart>> {
         self.0
             .is_recovery_done
             .get()
             .then(|| self.0.delivering.upstreams.cached_reads(page, bendhinge_clock::now()))
     }
 
-    fn list(&self, digest: u64) -> Option<Arc<UpstreamList>> {
+    fn recent_list(&self, digest: u64) -> Option<Arc<UpstreamList>> {
         self.0.delivering.upstreams.recent_list(digest)
     }
 
-    fn list_part(&self) -> Option<Arc<UpstreamList>> {
+    fn partial_list(&self) -> Option<Arc<UpstreamList>> {
         self.0.delivering.upstreams.partial_list()
     }
 
-    fn upstreams(&self, base: Option<u64>) -> Option<(Known, ListUpdate)> {
+    fn upstreams(&self, base: Option<u64>) -> Option<(HeldVersion, ListUpdate)> {
         let upstreams = &self.0.delivering.upstreams;
         let known = upstreams.held_version(bendhinge_clock::now())?;
         Some((known, upstreams.list_update_for(base)?))
--- a/crates/bendhinge_gateway/src/control/fetching.rs
+++ b/crates/bendhinge_gateway/src/control/fetching.rs
@@ -12,7 +12,7 @@
 
 use bendhinge_fleet::{FetchPlan, FetchSource, ListUpdate, Origin, UpdateOutcome, UpstreamList, Version};
 use bendhinge_ids::Instant;
-use bendhinge_peer::{CallError, Known, PeerMessage};
+use bendhinge_peer::{CallError, HeldVersion, PeerMessage};
 use bytes::Bytes;
 use futures_lite::future::zip;
 
@@ -63,7 +63,7 @@
     /// `address`.
     pub(super) async fn fetch_updates(self: &Rc<Self>, address: SocketAddr, message: &PeerMessage) {
         let DeliveryContext { rules, upstreams, .. } = &*self.delivering;
-        let source = |known: Known| FetchSource { address, version: known.version };
+        let source = |known: HeldVersion| FetchSource { address, version: known.version };
         let list = async {
             if let Some(source) = message.upstreams.map(source) {
                 let needs = |version| upstreams.needs(version);
@@ -79,7 +79,7 @@
             }
         };
         let partial_list = async {
-            if message.is_begun {
+            if message.has_partial_list {
                 // Partial lists have no versions; any of them will do.
                 let source = FetchSource { address, version: Version::default() };
                 let needs = |_| !upstreams.has_list_or_partial();
@@ -94,7 +94,7 @@
     /// is available.
     async fn fetch_partial_list(&self, address: SocketAddr) {
         let requested_at = bendhinge_clock::now();
-        let fetched = self.peers.call(address, async |peer| peer.list_part().await).await;
+        let fetched = self.peers.call(address, async |peer| peer.partial_list().await).await;
         let partial_list =
             self.record_fetch(ReplicaKind::Upstreams, address, requested_at, fetched.map(Some));
         if let Some(partial_list) = partial_list {
@@ -156,7 +156,7 @@
     /// notifies peers.
     pub(super) fn update_rules(
         self: &Rc<Self>,
-        known: &Known,
+        known: &HeldVersion,
         requested_at: Instant,
         document: Bytes,
         origin: Origin,
@@ -169,7 +169,7 @@
     /// Updates the rules like [`ControlPlane::update_rules`], but does not notify peers.
     pub(super) fn update_rules_locally(
         &self,
-        known: &Known,
+        known: &HeldVersion,
         requested_at: Instant,
         document: Bytes,
         origin: Origin,
@@ -196,7 +196,7 @@
     /// notifies peers.
     pub(super) fn update_upstream_list(
         self: &Rc<Self>,
-        known: &Known,
+        known: &HeldVersion,
         requested_at: Instant,
         list: UpstreamList,
         origin: Origin,
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -44,22 +44,22 @@
 ) -> PeerMessage {
     let peer = control.peer_states.borrow().get(receiver).copied();
     let mut message = PeerMessage {
-        is_brief: matches!(content, MessageContent::Brief | MessageContent::Suspicions { .. }),
+        is_announcement: matches!(content, MessageContent::Brief | MessageContent::Suspicions { .. }),
         is_probe: content == MessageContent::Probe,
         rules: control.delivering.rules.held_version(now),
         upstreams: control.delivering.upstreams.held_version(now),
-        is_begun: control.delivering.upstreams.partial_list().is_some(),
-        roster: control.roster.borrow().digest(),
-        told: Some(LogPosition { incarnation: control.incarnation, sequence: 0 }),
-        heard: peer.and_then(|peer| peer.received),
-        quarantine: control.delivering.quarantine.digest(),
+        has_partial_list: control.delivering.upstreams.partial_list().is_some(),
+        roster_digest: control.roster.borrow().digest(),
+        sent_position: Some(LogPosition { incarnation: control.incarnation, sequence: 0 }),
+        received_position: peer.and_then(|peer| peer.received),
+        quarantine_digest: control.delivering.quarantine.digest(),
         ..PeerMessage::from_sender(control.own_report())
     };
     let quarantine = &control.delivering.quarantine;
     if let MessageContent::Suspicions { since, includes_forwarded } = content {
-        message.suspicions = quarantine.changes_for(receiver, since, includes_forwarded, now);
+        message.crash_histories = quarantine.changes_for(receiver, since, includes_forwarded, now);
     }
-    if message.is_brief {
+    if message.is_announcement {
         return message;
     }
     let builder = MessageBuilder { control, receiver, peer, now };
@@ -68,8 +68,8 @@
     }
     if content == MessageContent::Full {
         let known_digest = peer.map_or(0, |peer| peer.summary.quarantine_digest);
-        message.suspicions = quarantine.histories_to_sync(known_digest, now);
-        message.doubts = control.delivering.upstreams.suspicions_for(receiver, now);
+        message.crash_histories = quarantine.histories_to_sync(known_digest, now);
+        message.failure_evidence = control.delivering.upstreams.suspicions_for(receiver, now);
         builder.add_loads(&mut message);
         builder.add_reads(request, &mut message);
     }
@@ -88,7 +88,7 @@
 impl MessageBuilder<'_> {
     fn add_members(&self, message: &mut PeerMessage) {
         let roster = self.control.roster.borrow();
-        if self.peer.is_some_and(|peer| peer.summary.roster_digest == message.roster) {
+        if self.peer.is_some_and(|peer| peer.summary.roster_digest == message.roster_digest) {
             message.member_states = Some(roster.states_for(self.receiver, self.now));
         } else {
             message.members = roster.members(self.now).collect();
@@ -111,15 +111,17 @@
         let ControlPlane { delivering, incarnation, .. } = self.control;
         let acknowledged = match request {
             // The request states what its sender has received.
-            Some(request) => {
-                request.heard.filter(|heard| heard.incarnation == *incarnation).map(|heard| heard.sequence)
-            }
+            Some(request) => request
+                .received_position
+                .filter(|heard| heard.incarnation == *incarnation)
+                .map(|heard| heard.sequence),
             None => self.peer.and_then(|peer| peer.acknowledged),
         };
         let batch = delivering.upstreams.cache_updates_for(self.receiver, acknowledged, self.now);
         delivering.metrics.count_dropped_reads(batch.dropped);
-        message.reads = batch.entries.into_iter().map(|read| observed_read(read, self.now)).collect();
-        message.told = Some(LogPosition { incarnation: *incarnation, sequence: batch.last_sequence });
+        message.cached_parts = batch.entries.into_iter().map(|read| observed_read(read, self.now)).collect();
+        message.sent_position =
+            Some(LogPosition { incarnation: *incarnation, sequence: batch.last_sequence });
     }
 }
 
@@ -136,13 +138,13 @@
     // Reads, loads, suspicions and doubts only guide decisions, so the unknown transit time of an
     // unsolicited message is ignored for them.
     let as_of = requested_at.unwrap_or(now);
-    upstreams.record_peer_reads(&message.reads, sender_address, as_of);
+    upstreams.record_peer_reads(&message.cached_parts, sender_address, as_of);
     upstreams.record_peer_loads(&message.loads, sender_address, as_of);
     if let (Some(list_loads), Some(known)) = (&message.list_loads, message.upstreams) {
         upstreams.apply_list_loads(list_loads, known.version, sender_address, as_of);
     }
-    control.delivering.quarantine.merge_reported(&message.suspicions, sender_address, as_of);
-    for upstream in upstreams.merge_suspicions(&message.doubts, sender_address, as_of) {
+    control.delivering.quarantine.merge_reported(&message.crash_histories, sender_address, as_of);
+    for upstream in upstreams.merge_suspicions(&message.failure_evidence, sender_address, as_of) {
         control.delivering.log.upstream_suspected(&upstream.name, sender_address);
         control.delivering.metrics.count_suspected_upstream();
     }
@@ -162,17 +164,18 @@
     for report in &message.members {
         roster.merge_reported(report, sender_address, now);
     }
-    if let Some(states) = message.member_states.as_ref().filter(|_| message.roster == roster.digest()) {
+    if let Some(states) = message.member_states.as_ref().filter(|_| message.roster_digest == roster.digest())
+    {
         roster.merge_states(states, sender_address, now);
     }
 }
 
 fn peer_summary(message: &PeerMessage) -> PeerSummary {
     PeerSummary {
-        incarnation: message.told.map(|told| told.incarnation),
-        roster_digest: message.roster,
+        incarnation: message.sent_position.map(|told| told.incarnation),
+        roster_digest: message.roster_digest,
         upstream_list_digest: message.upstreams.map(|known| known.version.digest),
-        quarantine_digest: message.quarantine,
+        quarantine_digest: message.quarantine_digest,
     }
 }
 
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{Origin, PeerStates, Roster, RouterIncarnation};
-use bendhinge_peer::{FleetClient, PeerPool, PeerPoolLimits, Traffic, serve_fleet};
+use bendhinge_peer::{FleetClient, PeerPool, PeerPoolTimeouts, TrafficCounters, serve_fleet};
 use rand::Rng;
 use smol::channel::Receiver;
 use smol::net::TcpListener;
@@ -69,7 +69,7 @@
         settings: Settings,
         delivering: Arc<DeliveryContext>,
         lifecycle: Arc<Lifecycle>,
-        traffic: Arc<Traffic>,
+        traffic: Arc<TrafficCounters>,
         executor: &Rc<LocalExecutor<'static>>,
     ) -> Rc<Self> {
         let roster = Roster::new(
@@ -78,7 +78,7 @@
             &settings.fleet.seeds,
             settings.fleet.roster_timeouts,
         );
-        let limits = PeerPoolLimits { call: settings.fleet.call_timeout, pause: FAILED_CALL_BACKOFF };
+        let limits = PeerPoolTimeouts { call: settings.fleet.call_timeout, backoff: FAILED_CALL_BACKOFF };
         let peers = PeerPool::new(settings.fleet.shared_key.clone(), limits, traffic, Rc::clone(executor));
         Rc::new(Self {
             roster: RefCell::new(roster),
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -11,7 +11,7 @@
 };
 use bendhinge_http::{Fetched, fetch_path};
 use bendhinge_ids::Instant;
-use bendhinge_peer::{ObservedRead, ReadsPage};
+use bendhinge_peer::{CachedPartsPage, ObservedCachedPart};
 use hyper::StatusCode;
 use smol::{Task, Timer};
 
@@ -94,8 +94,8 @@
     async fn recover_from_peer(&self, address: SocketAddr) -> Option<usize> {
         let mut parts = 0;
         for index in 0..PEER_READ_PAGES {
-            let page = ReadsPage { index, count: PEER_READ_PAGES };
-            let reads = self.peers.call(address, async |peer| peer.reads(page).await).await;
+            let page = CachedPartsPage { index, count: PEER_READ_PAGES };
+            let reads = self.peers.call(address, async |peer| peer.cached_parts(page).await).await;
             let reads = reads.ok()??;
             self.delivering.upstreams.restore_reads(&reads);
             parts += reads.len();
@@ -127,7 +127,7 @@
         })
     }
 
-    async fn query_cached_parts(&self, upstream: &UpstreamEntry) -> Vec<ObservedRead> {
+    async fn query_cached_parts(&self, upstream: &UpstreamEntry) -> Vec<ObservedCachedPart> {
         let dialect = &self.delivering.dialect;
         let pool = &self.delivering.connection_pool;
         let fetched =
@@ -142,7 +142,7 @@
         let parts = dialect.parse_cached_parts(&body).unwrap_or_default();
         let large_parts = parts.into_iter().filter(|part| part.tokens >= MIN_PART_TOKENS);
         large_parts
-            .map(|part| ObservedRead { part: part.id, upstream: upstream.hash, age: Duration::ZERO })
+            .map(|part| ObservedCachedPart { part: part.id, upstream: upstream.hash, age: Duration::ZERO })
             .collect()
     }
 }
--- a/crates/bendhinge_gateway/src/control/store.rs
+++ b/crates/bendhinge_gateway/src/control/store.rs
@@ -8,7 +8,7 @@
 
 use bendhinge_fleet::{Origin, Revision, StoreReadSchedule, StoreReadTimings, UpstreamList, Version};
 use bendhinge_ids::{DataCentreName, Instant};
-use bendhinge_peer::Known;
+use bendhinge_peer::HeldVersion;
 use smol::Timer;
 
 use super::ControlPlane;
@@ -337,8 +337,8 @@
 }
 
 /// Describes a version that was current when its read started.
-const fn current_at_read(version: Version) -> Known {
-    Known { version, age: Duration::ZERO }
+const fn current_at_read(version: Version) -> HeldVersion {
+    HeldVersion { version, age: Duration::ZERO }
 }
 
 /// Replica ages at which every gateway reads the store.
--- a/crates/bendhinge_gateway/src/quarantine.rs
+++ b/crates/bendhinge_gateway/src/quarantine.rs
@@ -7,7 +7,7 @@
 use bendhinge_codes::ResultCode;
 use bendhinge_fleet::{Crash, Origin, Quarantine, SendPermission, UpstreamEntry};
 use bendhinge_ids::{Instant, NameHash, RequestDigest, RequestHint};
-use bendhinge_peer::ObservedSuspicion;
+use bendhinge_peer::ObservedCrashHistory;
 use rand::Rng;
 use serde_json::json;
 use smol::channel::{Receiver, Sender, bounded};
@@ -181,13 +181,19 @@
     }
 
     /// Merges the crash histories that the router at `from` reported; their ages are relative to `as_of`.
-    pub(crate) fn merge_reported(&self, histories: &[ObservedSuspicion], from: SocketAddr, as_of: Instant) {
+    pub(crate) fn merge_reported(
+        &self,
+        histories: &[ObservedCrashHistory],
+        from: SocketAddr,
+        as_of: Instant,
+    ) {
         let now = bendhinge_clock::now();
         let mut max_crashes = None;
         for reported in histories {
             let mut state = self.state.lock().unwrap();
             let previous_crashes = state.crash_count(reported.request);
-            let is_changed = state.merge(reported.request, &reported.as_of(as_of), update_source(from), now);
+            let is_changed =
+                state.merge(reported.request, &reported.to_history(as_of), update_source(from), now);
             let crashes = state.crash_count(reported.request);
             drop(state);
             if is_changed {
@@ -215,19 +221,19 @@
         since: Instant,
         forwards: bool,
         now: Instant,
-    ) -> Vec<ObservedSuspicion> {
+    ) -> Vec<ObservedCrashHistory> {
         let state = self.state.lock().unwrap();
         let histories = state.changes_for(update_source(recipient), since, forwards);
-        histories.map(|(request, history)| ObservedSuspicion::of(request, history, now)).collect()
+        histories.map(|(request, history)| ObservedCrashHistory::new(request, history, now)).collect()
     }
 
     /// Returns the histories to send to a router with the digest `remote_digest`; empty if the digests are
     /// equal.
-    pub(crate) fn histories_to_sync(&self, remote_digest: u64, now: Instant) -> Vec<ObservedSuspicion> {
+    pub(crate) fn histories_to_sync(&self, remote_digest: u64, now: Instant) -> Vec<ObservedCrashHistory> {
         let state = self.state.lock().unwrap();
         let is_different = remote_digest != state.digest();
         let histories = state.synced_histories().filter(|_| is_different);
-        histories.map(|(request, history)| ObservedSuspicion::of(request, history, now)).collect()
+        histories.map(|(request, history)| ObservedCrashHistory::new(request, history, now)).collect()
     }
 
     /// Returns a digest that is equal for routers with equal crash histories.
--- a/crates/bendhinge_gateway/src/run.rs
+++ b/crates/bendhinge_gateway/src/run.rs
@@ -10,7 +10,7 @@
 use bendhinge_codes::ExitStatus;
 use bendhinge_delivery::IdentityKey;
 use bendhinge_http::{Pool, ServeLimits, Server, ServerStop, Tasks};
-use bendhinge_peer::Traffic;
+use bendhinge_peer::TrafficCounters;
 use futures_lite::StreamExt;
 use smol::net::TcpListener;
 use smol::{LocalExecutor, Timer};
@@ -114,7 +114,7 @@
         )),
         retry_budgets: RetryBudgets::new(settings.retry_budget),
         pacing: Pacing::new(log.clone()),
-        identity_key: IdentityKey(settings.fleet.shared_key.derived("requests")),
+        identity_key: IdentityKey(settings.fleet.shared_key.derive("requests")),
         quarantine: Arc::new(quarantine),
         crash_probes: CrashProbes::default(),
         connection_pool: Pool::new(
@@ -128,7 +128,7 @@
         max_response_bytes: settings.upstreams.max_answer_bytes,
     });
     let caller_server = serve_callers(&settings, &delivering, &lifecycle).await?;
-    let traffic = Arc::new(Traffic::default());
+    let traffic = Arc::new(TrafficCounters::default());
     let _readiness_server = serve_readiness(&settings, &delivering, &lifecycle, &traffic).await?;
     let (peer_listener, address) = listen_to_peers(settings.peer_address, &log).await?;
     settings.peer_address = address;
@@ -221,7 +221,7 @@
     settings: &Settings,
     delivering: &Arc<DeliveryContext>,
     lifecycle: &Arc<Lifecycle>,
-    traffic: &Arc<Traffic>,
+    traffic: &Arc<TrafficCounters>,
 ) -> Result<ServerStop, StartError> {
     let server = bind_server("ready", settings.readiness_address, ServeLimits::default(), delivering).await?;
     let stop = server.stopper();
--- a/crates/bendhinge_gateway/src/state/peers.rs
+++ b/crates/bendhinge_gateway/src/state/peers.rs
@@ -8,24 +8,24 @@
     UpstreamLoad, Version,
 };
 use bendhinge_ids::{Instant, NameHash};
-use bendhinge_peer::{ObservedDoubt, ObservedLoad, ObservedRead, ReadsPage};
+use bendhinge_peer::{CachedPartsPage, ObservedCachedPart, ObservedFailureEvidence, ObservedLoad};
 use bendhinge_placement::CachedPart;
 
 use super::upstreams::{State, UpstreamView};
 
 impl UpstreamView {
     /// Returns the recent failure reports on upstreams to send to the gateway at `peer`.
-    pub(crate) fn suspicions_for(&self, peer: SocketAddr, now: Instant) -> Vec<ObservedDoubt> {
+    pub(crate) fn suspicions_for(&self, peer: SocketAddr, now: Instant) -> Vec<ObservedFailureEvidence> {
         let state = self.state.lock().unwrap();
         let reports = state.failure_detector.changes_for(update_source(peer), now);
-        reports.map(|(upstream, report)| ObservedDoubt::of(upstream, report, now)).collect()
+        reports.map(|(upstream, report)| ObservedFailureEvidence::new(upstream, report, now)).collect()
     }
 
     /// Merges failure reports from the gateway at `from`, whose ages count from `as_of`. Returns the upstreams
     /// that are ejected as a result.
     pub(crate) fn merge_suspicions(
         &self,
-        reports: &[ObservedDoubt],
+        reports: &[ObservedFailureEvidence],
         from: SocketAddr,
         as_of: Instant,
     ) -> Vec<Arc<UpstreamEntry>> {
@@ -34,7 +34,7 @@
         let State { directory, outlier_detector, failure_detector, .. } = &mut *state;
         let mut ejected = Vec::new();
         for report in reports.iter().filter(|report| directory.contains(report.upstream)) {
-            match failure_detector.merge(report.upstream, &report.as_of(as_of), from, now) {
+            match failure_detector.merge(report.upstream, &report.to_evidence(as_of), from, now) {
                 SuspectChange::Cleared => outlier_detector.clear_suspect(report.upstream),
                 SuspectChange::Suspected if outlier_detector.eject_suspect(report.upstream, now) => {
                     let listed = directory.get(report.upstream);
@@ -109,14 +109,14 @@
     }
 
     /// Returns one page of the prompt parts that upstreams are expected to have cached.
-    pub(crate) fn cached_reads(&self, page: ReadsPage, now: Instant) -> Vec<ObservedRead> {
+    pub(crate) fn cached_reads(&self, page: CachedPartsPage, now: Instant) -> Vec<ObservedCachedPart> {
         let state = self.state.lock().unwrap();
-        let on_page = state.cached_parts.iter_entries().filter(|cached| page.holds(cached.part));
+        let on_page = state.cached_parts.iter_entries().filter(|cached| page.contains(cached.part));
         on_page.map(|cached| observed_read(cached, now)).collect()
     }
 
     /// Records cached prompt parts that a peer sent in bulk or an upstream listed. They are not sent on to peers.
-    pub(crate) fn restore_reads(&self, reads: &[ObservedRead]) {
+    pub(crate) fn restore_reads(&self, reads: &[ObservedCachedPart]) {
         let now = bendhinge_clock::now();
         let mut state = self.state.lock().unwrap();
         for read in reads {
@@ -126,7 +126,12 @@
 
     /// Records cached prompt parts that the gateway at `from` sent in an exchange that began at `started_at`, and
     /// queues new ones for other peers.
-    pub(crate) fn record_peer_reads(&self, reads: &[ObservedRead], from: SocketAddr, started_at: Instant) {
+    pub(crate) fn record_peer_reads(
+        &self,
+        reads: &[ObservedCachedPart],
+        from: SocketAddr,
+        started_at: Instant,
+    ) {
         let (now, from) = (bendhinge_clock::now(), update_source(from));
         let mut state = self.state.lock().unwrap();
         for read in reads {
@@ -168,11 +173,11 @@
 }
 
 /// Converts an observed read whose age counts from `as_of`.
-fn cached_part(read: &ObservedRead, as_of: Instant) -> CachedPart {
+fn cached_part(read: &ObservedCachedPart, as_of: Instant) -> CachedPart {
     CachedPart { part: read.part, upstream: read.upstream, last_used: as_of - read.age }
 }
 
 /// Converts a cached prompt part to its form on the wire, which has an age in place of a time.
-pub(crate) fn observed_read(cached: CachedPart, now: Instant) -> ObservedRead {
-    ObservedRead { part: cached.part, upstream: cached.upstream, age: now.since(cached.last_used) }
+pub(crate) fn observed_read(cached: CachedPart, now: Instant) -> ObservedCachedPart {
+    ObservedCachedPart { part: cached.part, upstream: cached.upstream, age: now.since(cached.last_used) }
 }
--- a/crates/bendhinge_gateway/src/state/rules.rs
+++ b/crates/bendhinge_gateway/src/state/rules.rs
@@ -6,7 +6,7 @@
 
 use bendhinge_fleet::{Replica, UpdateOutcome, Version};
 use bendhinge_ids::Instant;
-use bendhinge_peer::Known;
+use bendhinge_peer::HeldVersion;
 use bendhinge_routes::ServingRules;
 use bytes::Bytes;
 use futures_lite::FutureExt;
@@ -89,8 +89,8 @@
     }
 
     /// Returns the held version and the time since it was last known to be current.
-    pub(crate) fn held_version(&self, now: Instant) -> Option<Known> {
-        self.replica.lock().unwrap().current().map(|held| Known::of(held, now))
+    pub(crate) fn held_version(&self, now: Instant) -> Option<HeldVersion> {
+        self.replica.lock().unwrap().current().map(|held| HeldVersion::new(held, now))
     }
 
     /// Whether `version` is newer than the held one and has to be fetched.
--- a/crates/bendhinge_gateway/src/state/upstreams.rs
+++ b/crates/bendhinge_gateway/src/state/upstreams.rs
@@ -11,7 +11,7 @@
     UpstreamFailure, UpstreamHealth, UpstreamList, UpstreamLoad, Version,
 };
 use bendhinge_ids::{Instant, NameHash, PoolName};
-use bendhinge_peer::Known;
+use bendhinge_peer::HeldVersion;
 use bendhinge_placement::{
     CachedPart, CachedParts, Candidate, ChoiceReason, CostModel, CostQuery, Prompt, WarmupLimit, choose,
 };
@@ -162,8 +162,8 @@
     }
 
     /// Returns the held version and the time since it was last known to be current.
-    pub(crate) fn held_version(&self, now: Instant) -> Option<Known> {
-        self.state.lock().unwrap().replica.current().map(|held| Known::of(held, now))
+    pub(crate) fn held_version(&self, now: Instant) -> Option<HeldVersion> {
+        self.state.lock().unwrap().replica.current().map(|held| HeldVersion::new(held, now))
     }
 
     /// Returns the held list.
