--- a/crates/bendhinge_delivery/src/events.rs
+++ b/crates/bendhinge_delivery/src/events.rs
@@ -1,21 +1,21 @@
-//! Streams of events (`text/event-stream`): whole events, and the id of the last one.
+//! Splits server-sent event streams (`text/event-stream`) at event boundaries.
 
 use bytes::{Bytes, BytesMut};
 
-/// Cuts a stream of bytes at the ends of events, so that only whole events are passed on.
+/// Buffers a byte stream and releases only complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
     last_id: Option<String>,
 }
 
-/// The line that begins an event's id.
-const ID_FIELD: &[u8] = b"id:";
+/// The prefix of an event's `id` line.
+const ID_PREFIX: &[u8] = b"id:";
 
 impl EventSplitter {
-    /// Takes in the next bytes and gives the events that are whole now, if any.
+    /// Adds `bytes` and returns the events that are now complete, if any.
     pub fn feed(&mut self, bytes: &Bytes) -> Option<Bytes> {
-        let whole = if self.partial.is_empty() {
+        let complete = if self.partial.is_empty() {
             let end = end_of_last_event(bytes).unwrap_or(0);
             self.partial.extend_from_slice(&bytes[end..]);
             bytes.slice(..end)
@@ -24,46 +24,45 @@
             let end = end_of_last_event(&self.partial).unwrap_or(0);
             self.partial.split_to(end).freeze()
         };
-        if let Some(id) = last_id(&whole) {
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        Some(whole).filter(|whole| !whole.is_empty())
+        Some(complete).filter(|complete| !complete.is_empty())
     }
 
-    /// Whether bytes are left that end no event.
+    /// Whether an incomplete event is buffered.
     #[must_use]
     pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// The bytes that are left at the stream's end.
-    pub fn take_rest(&mut self) -> Bytes {
+    /// Removes and returns the buffered bytes of an incomplete event.
+    pub fn take_partial(&mut self) -> Bytes {
         self.partial.split().freeze()
     }
 
-    /// The id of the last whole event.
+    /// The most recent event id among the complete events.
     #[must_use]
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Forgets a part of an event: its stream broke off, and another goes on after the last
-    /// whole event.
+    /// Discards a partial event, because another stream resumes after the last complete event.
     pub fn restart(&mut self) {
         self.partial.clear();
     }
 }
 
-/// The position behind the last empty line.
+/// Returns the offset just past the last blank line.
 fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
-    let plain = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
-    let wide = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
-    plain.max(wide)
+    let lf = bytes.windows(2).rposition(|pair| pair == b"\n\n").map(|at| at + 2);
+    let crlf = bytes.windows(4).rposition(|four| four == b"\r\n\r\n").map(|at| at + 4);
+    lf.max(crlf)
 }
 
 fn last_id(events: &[u8]) -> Option<String> {
     let mut lines = events.rsplit(|byte| *byte == b'\n');
-    let line = lines.find(|line| line.starts_with(ID_FIELD))?;
-    let id = line[ID_FIELD.len()..].trim_ascii();
+    let line = lines.find(|line| line.starts_with(ID_PREFIX))?;
+    let id = line[ID_PREFIX.len()..].trim_ascii();
     std::str::from_utf8(id).ok().map(str::to_owned)
 }
--- a/crates/bendhinge_delivery/src/lib.rs
+++ b/crates/bendhinge_delivery/src/lib.rs
@@ -8,11 +8,11 @@
 mod events;
 mod identity;
 mod once;
-mod vouch;
+mod ownership;
 
 pub use attempt::{AttemptEnd, NextStep, Repeatable, next_step};
 pub use course::{Course, CourseRules, SendEnd};
 pub use events::EventSplitter;
 pub use identity::{IdentityKey, RequestIdentity};
 pub use once::{Claim, Claimant, OnceKey, OnceLedger, OnceLimits, OnceOutcome};
-pub use vouch::OwnershipHistory;
+pub use ownership::OwnershipHistory;
--- a/crates/bendhinge_delivery/src/vouch.rs
+++ b/crates/bendhinge_delivery/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Whether a router can vouch that no other has granted a key.
+//! History of key ownership, used to prove that no other router can have granted a key.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,11 +11,10 @@
     boxes: Vec<BoxName>,
 }
 
-/// The lists of boxes that were in force on this router during the window.
+/// The membership lists in force on this router during the deduplication window.
 ///
-/// A router vouches for a key if, under every one of them, it was itself the key's owner, for
-/// at least a window. Boxes that cannot be reached stay on the list until the platform removes
-/// them: an owner that is only out of reach may still be granting.
+/// A router may grant a key only if it owned the key under every list of a full window. Unreachable
+/// boxes stay on the list until the platform removes them, because they may still grant keys.
 #[derive(Debug)]
 pub struct OwnershipHistory {
     window: Duration,
@@ -23,33 +22,33 @@
 }
 
 impl OwnershipHistory {
-    /// A history that begins at `now` with no list; it vouches for nothing yet.
+    /// Creates an empty history, which proves ownership of no key.
     #[must_use]
     pub const fn new(window: Duration) -> Self {
         Self { window, epochs: VecDeque::new() }
     }
 
-    /// Notes the list of boxes that is in force from `now`.
+    /// Records that `boxes` is in force from `now`.
     pub fn note(&mut self, mut boxes: Vec<BoxName>, now: Instant) {
         boxes.sort();
         if self.epochs.back().is_some_and(|epoch| epoch.boxes == boxes) {
             return;
         }
         self.epochs.push_back(Epoch { since: now, boxes });
-        // An epoch matters until its successor alone covers the window.
+        // An epoch is irrelevant once its successor covers the whole window.
         while self.epochs.len() > 1 && now.since(self.epochs[1].since) >= self.window {
             self.epochs.pop_front();
         }
     }
 
-    /// The boxes now on the list.
+    /// The boxes on the current list.
     #[must_use]
     pub fn boxes(&self) -> &[BoxName] {
         self.epochs.back().map_or(&[], |epoch| epoch.boxes.as_slice())
     }
 
-    /// Whether `owns` held under every list of the window, and a whole window is known.
-    pub fn vouches(&self, now: Instant, owns: impl Fn(&[BoxName]) -> bool) -> bool {
+    /// Whether the history covers a full window and `owns` holds for every list in it.
+    pub fn owned_throughout(&self, now: Instant, owns: impl Fn(&[BoxName]) -> bool) -> bool {
         let Some(first) = self.epochs.front() else { return false };
         let covered = now.since(first.since) >= self.window;
         let relevant = self.epochs.iter().enumerate().filter(|(index, _)| {
--- a/crates/bendhinge_delivery/tests/events.rs
+++ b/crates/bendhinge_delivery/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams of events are passed on in whole events.
+//! `EventSplitter` releases only complete events.
 
 use bendhinge_delivery::EventSplitter;
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_part_of_an_event_waits_for_the_rest() {
+fn partial_event_is_buffered_until_complete() {
     let mut splitter = EventSplitter::default();
     assert_eq!(feed(&mut splitter, "id: 1\ndata: a\n\nid: 2\nda").as_deref(), Some("id: 1\ndata: a\n\n"));
     assert_eq!(splitter.last_id(), Some("1"));
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn both_ends_of_lines_are_known() {
+fn crlf_line_endings_are_supported() {
     let mut splitter = EventSplitter::default();
     assert_eq!(feed(&mut splitter, "id: 7\r\ndata: a\r\n\r\n").as_deref(), Some("id: 7\r\ndata: a\r\n\r\n"));
     assert_eq!(splitter.last_id(), Some("7"));
 }
 
 #[test]
-fn after_a_break_the_part_is_forgotten_and_the_last_id_is_not() {
+fn restart_discards_partial_event() {
     let mut splitter = EventSplitter::default();
     feed(&mut splitter, "id: 1\ndata: a\n\nid: 2\nda");
     splitter.restart();
@@ -35,26 +35,25 @@
     assert_eq!(feed(&mut splitter, "id: 2\ndata: b\n\n").as_deref(), Some("id: 2\ndata: b\n\n"));
 }
 
-/// However a stream is cut into pieces, what comes out is the stream in whole events, and the
-/// last id is that of the last whole event.
+/// Chunk boundaries do not affect the released events or the last event id.
 #[test]
-fn pieces_of_any_size_give_the_same_events() {
+fn chunk_boundaries_do_not_affect_events() {
     arbtest::arbtest(|source| {
         let count = source.int_in_range(1..=8_usize)?;
         let events: Vec<String> = (0..count).map(|id| format!("id: {id}\ndata: text of {id}\n\n")).collect();
         let stream = events.concat();
         let mut splitter = EventSplitter::default();
-        let (mut at, mut out) = (0, String::new());
-        while at < stream.len() {
-            let piece = source.int_in_range(1..=40_usize)?.min(stream.len() - at);
-            out.extend(feed(&mut splitter, &stream[at..at + piece]));
-            at += piece;
-            let whole = events.iter().scan(0, |end, event| {
+        let (mut offset, mut out) = (0, String::new());
+        while offset < stream.len() {
+            let chunk_len = source.int_in_range(1..=40_usize)?.min(stream.len() - offset);
+            out.extend(feed(&mut splitter, &stream[offset..offset + chunk_len]));
+            offset += chunk_len;
+            let complete_len = events.iter().scan(0, |end, event| {
                 *end += event.len();
                 Some(*end)
             });
-            let whole = whole.filter(|end| *end <= at).max().unwrap_or(0);
-            assert_eq!(out, stream[..whole]);
+            let complete_len = complete_len.filter(|end| *end <= offset).max().unwrap_or(0);
+            assert_eq!(out, stream[..complete_len]);
         }
         assert_eq!(splitter.last_id().map(str::to_owned), Some((count - 1).to_string()));
         Ok(())
--- a/crates/bendhinge_delivery/tests/once.rs
+++ b/crates/bendhinge_delivery/tests/once.rs
@@ -105,21 +105,24 @@
     let at = |seconds: u64| Instant::from_millis(1_000 * seconds);
 
     let mut young = OwnershipHistory::new(WINDOW);
-    assert!(!young.vouches(at(10_000), first), "no list is known");
+    assert!(!young.owned_throughout(at(10_000), first), "no list is known");
     young.note(boxes(&["a", "b"]), at(0));
-    assert!(!young.vouches(at(599), first), "a young router cannot vouch");
-    assert!(young.vouches(at(600), first), "after a whole window it can");
+    assert!(!young.owned_throughout(at(599), first), "a young router cannot vouch");
+    assert!(young.owned_throughout(at(600), first), "after a whole window it can");
 
     let mut changed = OwnershipHistory::new(WINDOW);
     changed.note(boxes(&["a", "b"]), at(0));
     changed.note(boxes(&["b"]), at(1_000));
-    assert!(!changed.vouches(at(1_001), first), "no more its own");
+    assert!(!changed.owned_throughout(at(1_001), first), "no more its own");
     changed.note(boxes(&["a", "b"]), at(1_100));
-    assert!(!changed.vouches(at(1_699), first), "another owned it in the window");
-    assert!(changed.vouches(at(1_700), first), "the window has passed");
+    assert!(!changed.owned_throughout(at(1_699), first), "another owned it in the window");
+    assert!(changed.owned_throughout(at(1_700), first), "the window has passed");
 
     let mut others = OwnershipHistory::new(WINDOW);
     others.note(boxes(&["a", "b"]), at(0));
     others.note(boxes(&["a", "b", "c"]), at(1_000));
-    assert!(others.vouches(at(1_001), first), "a change that leaves the key where it was does not matter");
+    assert!(
+        others.owned_throughout(at(1_001), first),
+        "a change that leaves the key where it was does not matter"
+    );
 }
--- a/crates/bendhinge_gateway/src/delivery/relay.rs
+++ b/crates/bendhinge_gateway/src/delivery/relay.rs
@@ -8,7 +8,7 @@
 
 use bendhinge_codes::ResultCode;
 use bendhinge_delivery::{EventSplitter, SendEnd};
-use bendhinge_http::{Body, BodyError, Connection, cut_after_flush};
+use bendhinge_http::{Body, BodyError, Connection, flush_before_error};
 use bytes::Bytes;
 use futures_lite::{FutureExt, Stream, StreamExt, stream};
 use http_body_util::BodyExt;
@@ -108,7 +108,7 @@
 
     fn finish(&mut self) -> Option<io::Result<Bytes>> {
         self.is_over = true;
-        let rest = self.events.take_rest();
+        let rest = self.events.take_partial();
         if let Some(Source { headers, connection, .. }) = self.source.take() {
             self.delivery.delivering.return_connection(&headers, connection);
         }
@@ -173,7 +173,7 @@
         let piece = relay.next().await?;
         Some((piece, relay))
     });
-    cut_after_flush(RelayBody { pieces: Mutex::new(pieces.boxed()) })
+    flush_before_error(RelayBody { pieces: Mutex::new(pieces.boxed()) })
 }
 
 impl hyper::body::Body for RelayBody {
--- a/crates/bendhinge_http/src/body.rs
+++ b/crates/bendhinge_http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: one boxed type for requests and answers, whole or streamed.
+//! Boxed request and response bodies, fully buffered or streamed.
 
 use std::convert::Infallible;
 use std::io;
@@ -14,39 +14,39 @@
 use smol::Timer;
 use smol::channel::{Receiver, Sender, bounded};
 
-/// Whatever can go wrong while a body is read.
+/// An error while a body is read.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body type of all requests and answers made here.
+/// The body type of all requests and responses created by this crate.
 pub type Body = BoxBody<Bytes, BodyError>;
 
-/// A body that is there whole.
+/// Creates a body from a buffer that is already complete.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
-    Full::new(bytes.into()).map_err(never).boxed()
+    Full::new(bytes.into()).map_err(infallible).boxed()
 }
 
-/// A body without content.
+/// Creates an empty body.
 #[must_use]
 pub fn empty_body() -> Body {
-    http_body_util::Empty::new().map_err(never).boxed()
+    http_body_util::Empty::new().map_err(infallible).boxed()
 }
 
-/// A body whose error comes one turn late: the server drops what it still buffers when a body
-/// fails, so it is first let flush that.
-struct CutAfterFlush<B> {
+/// Delays an error of the wrapped body by one poll. The server discards its write buffer when a
+/// body fails, so it needs a chance to flush first.
+struct FlushBeforeError<B> {
     body: B,
     error: Option<BodyError>,
 }
 
-/// `body`, of which all that came before an error reaches the other side.
-pub fn cut_after_flush<B>(body: B) -> Body
+/// Wraps `body` so that all data before an error is flushed to the client.
+pub fn flush_before_error<B>(body: B) -> Body
 where
     B: hyper::body::Body<Data = Bytes, Error = BodyError> + Unpin + Send + Sync + 'static,
 {
-    CutAfterFlush { body, error: None }.boxed()
+    FlushBeforeError { body, error: None }.boxed()
 }
 
-impl<B> hyper::body::Body for CutAfterFlush<B>
+impl<B> hyper::body::Body for FlushBeforeError<B>
 where
     B: hyper::body::Body<Data = Bytes, Error = BodyError> + Unpin,
 {
@@ -63,7 +63,7 @@
         match Pin::new(&mut self.body).poll_frame(context) {
             Poll::Ready(Some(Err(error))) => {
                 self.error = Some(error);
-                // Pending lets the server flush; it is to ask again right after.
+                // `Pending` makes the server flush; the wake-up makes it poll again immediately.
                 context.waker().wake_by_ref();
                 Poll::Pending
             }
@@ -80,50 +80,50 @@
     }
 }
 
-fn never(error: Infallible) -> BodyError {
+fn infallible(error: Infallible) -> BodyError {
     match error {}
 }
 
-struct Pieces(Pin<Box<Receiver<io::Result<Bytes>>>>);
+struct ChunkStream(Pin<Box<Receiver<io::Result<Bytes>>>>);
 
-impl Stream for Pieces {
+impl Stream for ChunkStream {
     type Item = Result<Frame<Bytes>, BodyError>;
 
     fn poll_next(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        let piece = self.0.as_mut().poll_next(context);
-        piece.map(|piece| piece.map(|bytes| bytes.map(Frame::data).map_err(Into::into)))
+        let chunk = self.0.as_mut().poll_next(context);
+        chunk.map(|chunk| chunk.map(|bytes| bytes.map(Frame::data).map_err(Into::into)))
     }
 }
 
-/// A body fed through a channel of `depth` pieces. An `Err` cuts the connection, so that the
-/// reader sees that the body is not whole; dropping the sender ends the body.
+/// Creates a body fed through a channel that holds `capacity` chunks. Sending an `Err` aborts the
+/// connection, so the reader sees that the body is truncated; dropping the sender ends the body.
 #[must_use]
-pub fn channel_body(depth: usize) -> (Sender<io::Result<Bytes>>, Body) {
-    let (sender, receiver) = bounded(depth);
-    let body = StreamBody::new(Pieces(Box::pin(receiver)));
+pub fn channel_body(capacity: usize) -> (Sender<io::Result<Bytes>>, Body) {
+    let (sender, receiver) = bounded(capacity);
+    let body = StreamBody::new(ChunkStream(Box::pin(receiver)));
     (sender, BodyExt::boxed(body))
 }
 
-/// Nothing more of a body came for so long.
+/// No data arrived within the read timeout.
 #[derive(Debug, thiserror::Error)]
-#[error("nothing more of it within {0:?}")]
-struct SilentBody(Duration);
+#[error("no more body data within {0:?}")]
+struct ReadTimeoutError(Duration);
 
-/// A body that fails if nothing of it comes for a while.
-pub(crate) struct Impatient<B> {
+/// Fails the wrapped body if no frame arrives within the read timeout.
+pub(crate) struct ReadTimeoutBody<B> {
     body: B,
-    silence: Duration,
-    next: Timer,
+    read_timeout: Duration,
+    timer: Timer,
 }
 
-impl<B> Impatient<B> {
-    /// `body`, of which each piece is to come within `silence` after the one before.
-    pub(crate) fn new(body: B, silence: Duration) -> Self {
-        Self { body, silence, next: Timer::after(silence) }
+impl<B> ReadTimeoutBody<B> {
+    /// Wraps `body`; each frame must arrive within `read_timeout` of the previous one.
+    pub(crate) fn new(body: B, read_timeout: Duration) -> Self {
+        Self { body, read_timeout, timer: Timer::after(read_timeout) }
     }
 }
 
-impl<B> hyper::body::Body for Impatient<B>
+impl<B> hyper::body::Body for ReadTimeoutBody<B>
 where
     B: hyper::body::Body<Data = Bytes> + Unpin,
     B::Error: Into<BodyError>,
@@ -135,42 +135,42 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let silence = self.silence;
+        let read_timeout = self.read_timeout;
         if let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(context) {
-            self.next.set_after(silence);
+            self.timer.set_after(read_timeout);
             return Poll::Ready(frame.map(|frame| frame.map_err(Into::into)));
         }
-        let is_silent = Pin::new(&mut self.next).poll(context).is_ready();
-        if is_silent { Poll::Ready(Some(Err(SilentBody(silence).into()))) } else { Poll::Pending }
+        let timed_out = Pin::new(&mut self.timer).poll(context).is_ready();
+        if timed_out { Poll::Ready(Some(Err(ReadTimeoutError(read_timeout).into()))) } else { Poll::Pending }
     }
 }
 
-/// Why a body could not be gathered.
+/// An error while a body is read into memory.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadBodyError {
-    /// It is longer than the reader allows.
+    /// The body exceeds the limit, in bytes.
     #[error("the body is longer than {0} bytes")]
     TooLong(usize),
-    /// It broke off.
-    #[error("the body broke off: {0}")]
+    /// The body ended with an error.
+    #[error("reading the body failed: {0}")]
     Broken(BodyError),
 }
 
-/// Gathers a body of at most `limit` bytes.
+/// Reads a body of at most `limit` bytes into memory.
 pub async fn read_body<B>(body: B, limit: usize) -> Result<Bytes, ReadBodyError>
 where
     B: hyper::body::Body<Data = Bytes>,
     B::Error: Into<BodyError>,
 {
     let mut body = std::pin::pin!(body);
-    let mut gathered = BytesMut::new();
+    let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| ReadBodyError::Broken(error.into()))?;
         let Ok(data) = frame.into_data() else { continue };
-        if gathered.len() + data.len() > limit {
+        if collected.len() + data.len() > limit {
             return Err(ReadBodyError::TooLong(limit));
         }
-        gathered.extend_from_slice(&data);
+        collected.extend_from_slice(&data);
     }
-    Ok(gathered.freeze())
+    Ok(collected.freeze())
 }
--- a/crates/bendhinge_http/src/client.rs
+++ b/crates/bendhinge_http/src/client.rs
@@ -10,7 +10,7 @@
 use serde::de::DeserializeOwned;
 use smol::Timer;
 
-use crate::body::{Impatient, ReadBodyError};
+use crate::body::{ReadBodyError, ReadTimeoutBody};
 use crate::pool::{ConnectError, Connection, SendFailure};
 use crate::{Body, Pool, read_body};
 
@@ -79,7 +79,7 @@
     let exchange = async {
         let (answer, connection) = within(silence, begin(pool, address, request)).await?;
         let (head, body) = answer.into_parts();
-        let body = read_body(Impatient::new(body, silence), limit).await?;
+        let body = read_body(ReadTimeoutBody::new(body, silence), limit).await?;
         pool.give_back(connection).await;
         Ok(Fetched { status: head.status, headers: head.headers, body })
     };
--- a/crates/bendhinge_http/src/hop_by_hop.rs
+++ b/crates/bendhinge_http/src/hop_by_hop.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Removal of hop-by-hop headers.
 
 use hyper::header::{
     CONNECTION, HeaderMap, HeaderName, PROXY_AUTHENTICATE, PROXY_AUTHORIZATION, TE, TRAILER,
@@ -8,7 +8,7 @@
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 9] = [
     CONNECTION,
     KEEP_ALIVE,
@@ -21,8 +21,8 @@
     UPGRADE,
 ];
 
-/// Removes the headers that concern one connection only, those that `Connection` names among them.
-pub fn drop_hop_by_hop(headers: &mut HeaderMap) {
+/// Removes hop-by-hop headers, including those listed in `Connection`.
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
--- a/crates/bendhinge_http/src/lib.rs
+++ b/crates/bendhinge_http/src/lib.rs
@@ -7,15 +7,15 @@
 mod pool;
 mod serve;
 mod signal;
-mod unread;
 mod workers;
+mod write_timeout;
 
 pub use body::{
-    Body, BodyError, ReadBodyError, channel_body, cut_after_flush, empty_body, full_body, read_body,
+    Body, BodyError, ReadBodyError, channel_body, empty_body, flush_before_error, full_body, read_body,
 };
 pub use client::{FetchError, FetchTime, Fetched, fetch, fetch_bytes, fetch_json, fetch_path};
-pub use hop_by_hop::drop_hop_by_hop;
+pub use hop_by_hop::remove_hop_by_hop_headers;
 pub use pool::{ConnectError, Connection, Pool, SendFailure};
 pub use serve::{CutConnection, ServeLimits, Server, ServerStop, Unread};
-pub use signal::termination;
+pub use signal::wait_for_termination;
 pub use workers::{Tasks, run_until};
--- a/crates/bendhinge_http/src/serve.rs
+++ b/crates/bendhinge_http/src/serve.rs
@@ -17,7 +17,7 @@
 use smol::net::{TcpListener, TcpStream};
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-use crate::unread::CutIfUnread;
+use crate::write_timeout::WriteTimeoutStream;
 use crate::{Body, Tasks};
 
 /// What one listening address allows its callers.
@@ -154,7 +154,10 @@
                 .max_buf_size(limits.head_bytes)
                 .writev(true)
                 .header_read_timeout(limits.head_time)
-                .serve_connection(FuturesIo::new(CutIfUnread::new(stream, limits.unread_for)), service);
+                .serve_connection(
+                    FuturesIo::new(WriteTimeoutStream::new(stream, limits.unread_for)),
+                    service,
+                );
             let mut serving = std::pin::pin!(serving);
             let ended = async {
                 // A broken connection is the caller's to notice; its request was dropped with it.
--- a/crates/bendhinge_http/src/signal.rs
+++ b/crates/bendhinge_http/src/signal.rs
@@ -1,15 +1,15 @@
-//! The request to stop.
+//! Termination signals.
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 
-/// Resolves when the process is asked to stop by `SIGTERM` or `SIGINT`.
-pub async fn termination() {
+/// Resolves when the process receives `SIGTERM` or `SIGINT`.
+pub async fn wait_for_termination() {
     match Signals::new([Signal::Term, Signal::Int]) {
         Ok(mut signals) => {
             signals.next().await;
         }
-        // Without signal handling the default action ends the process, which is the best left.
+        // Without a handler, the default action of the signal terminates the process.
         Err(_) => std::future::pending().await,
     }
 }
--- a/crates/bendhinge_http/src/workers.rs
+++ b/crates/bendhinge_http/src/workers.rs
@@ -1,4 +1,4 @@
-//! The threads that run a process's tasks.
+//! Worker threads for the async executor.
 
 use std::future::Future;
 use std::num::NonZeroUsize;
@@ -8,12 +8,12 @@
 use smol::Executor;
 use smol::channel::bounded;
 
-/// The executor that a process's tasks run on; cheap to clone.
+/// The shared executor that runs the tasks of a process.
 pub type Tasks = Arc<Executor<'static>>;
 
-/// Runs `tasks` on `workers` threads until `main` is done, and gives its result.
+/// Runs `tasks` on `workers` threads until `main` completes, and returns its output.
 ///
-/// Tasks that are still running then are dropped.
+/// Worker threads then stop; unfinished tasks are no longer polled.
 pub fn run_until<T>(tasks: &Tasks, workers: NonZeroUsize, main: impl Future<Output = T>) -> T {
     let (stop, stopped) = bounded::<()>(1);
     thread::scope(|scope| {
--- a/crates/bendhinge_http/src/unread.rs
+++ b/crates/bendhinge_http/src/write_timeout.rs
@@ -1,4 +1,4 @@
-//! Callers that do not read: what is kept for one is held for a bounded time.
+//! Write timeout for clients that stop reading their responses.
 
 use std::future::Future;
 use std::io;
@@ -9,40 +9,40 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use smol::Timer;
 
-/// A connection on which writing fails once the other side has taken nothing for a while.
+/// A stream whose writes fail with `TimedOut` if the peer accepts no data within a timeout.
 ///
-/// How much is kept for it is bounded elsewhere: the next piece of an answer is only asked for when there is room for
-/// it, and until then the upstream's own connection is not read either.
-pub(crate) struct CutIfUnread<S> {
+/// It does not limit buffered bytes; backpressure does, as a response body is only polled when the
+/// write buffer has room.
+pub(crate) struct WriteTimeoutStream<S> {
     stream: S,
-    patience: Duration,
-    /// Runs while what was to be written is not taken.
-    waiting: Option<Timer>,
+    timeout: Duration,
+    /// Started when a write blocks, cleared when one completes.
+    timer: Option<Timer>,
 }
 
-impl<S> CutIfUnread<S> {
-    /// `stream`, whose other side may take nothing for `patience`.
-    pub(crate) const fn new(stream: S, patience: Duration) -> Self {
-        Self { stream, patience, waiting: None }
+impl<S> WriteTimeoutStream<S> {
+    /// Wraps `stream`; a write may block for at most `timeout`.
+    pub(crate) const fn new(stream: S, timeout: Duration) -> Self {
+        Self { stream, timeout, timer: None }
     }
 
-    /// `written`, or an error if the other side has taken nothing for too long.
-    fn unless_too_long(
+    /// Returns `written`, or `TimedOut` if writes have blocked for longer than the timeout.
+    fn check_timeout(
         &mut self,
         written: Poll<io::Result<usize>>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<usize>> {
         if written.is_ready() {
-            self.waiting = None;
+            self.timer = None;
             return written;
         }
-        let patience = self.patience;
-        let waiting = self.waiting.get_or_insert_with(|| Timer::after(patience));
-        Pin::new(waiting).poll(context).map(|_| Err(io::ErrorKind::TimedOut.into()))
+        let timeout = self.timeout;
+        let timer = self.timer.get_or_insert_with(|| Timer::after(timeout));
+        Pin::new(timer).poll(context).map(|_| Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for CutIfUnread<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for WriteTimeoutStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -52,23 +52,23 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for CutIfUnread<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for WriteTimeoutStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.unless_too_long(written, context)
+        self.check_timeout(written, context)
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        pieces: &[io::IoSlice<'_>],
+        buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write_vectored(context, pieces);
-        self.unless_too_long(written, context)
+        let written = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
+        self.check_timeout(written, context)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/bendhinge_router/src/delivery/once.rs
+++ b/crates/bendhinge_router/src/delivery/once.rs
@@ -122,7 +122,7 @@
     let owns = |boxes: &[BoxName]| owner_of(&text, boxes) == Some(&node.life.name);
     let (is_owner, owned_for_window) = {
         let membership = node.membership.lock().unwrap();
-        (owns(membership.history.boxes()), membership.history.vouches(now, owns))
+        (owns(membership.history.boxes()), membership.history.owned_throughout(now, owns))
     };
     if !is_owner {
         return OnceAnswer::NotOwner;
--- a/crates/bendhinge_router/src/delivery/relay.rs
+++ b/crates/bendhinge_router/src/delivery/relay.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bendhinge_codes::ResultCode;
-use bendhinge_http::{Body, BodyError, Connection, cut_after_flush, full_body};
+use bendhinge_http::{Body, BodyError, Connection, flush_before_error, full_body};
 use bendhinge_ids::RequestId;
 use bendhinge_timeline::EventKind;
 use bytes::Bytes;
@@ -41,7 +41,7 @@
         }
         AttemptBody::Open(body, connection) => {
             let end_mark = is_stream.then(EndMark::default);
-            cut_after_flush(RelayBody::new(body, connection, held, end_mark))
+            flush_before_error(RelayBody::new(body, connection, held, end_mark))
         }
     };
     Response::from_parts(head, body)
--- a/crates/bendhinge_router/src/intake/headers.rs
+++ b/crates/bendhinge_router/src/intake/headers.rs
@@ -4,7 +4,7 @@
 
 use bendhinge_codes::ResultCode;
 use bendhinge_delivery::Repeatable;
-use bendhinge_http::drop_hop_by_hop;
+use bendhinge_http::remove_hop_by_hop_headers;
 use hyper::header::{AUTHORIZATION, CONTENT_LENGTH, EXPECT, HOST, HeaderMap, TRANSFER_ENCODING};
 use hyper::{Method, Request};
 
@@ -24,7 +24,7 @@
 /// Makes a caller's headers fit for an upstream: without what concerns the caller's connection,
 /// its key, and the router's own headers. Length and framing are written anew by hyper.
 pub(super) fn to_upstream(headers: &mut HeaderMap) {
-    drop_hop_by_hop(headers);
+    remove_hop_by_hop_headers(headers);
     for name in [AUTHORIZATION, HOST, EXPECT, CONTENT_LENGTH] {
         headers.remove(name);
     }
@@ -35,7 +35,7 @@
 
 /// Makes an upstream's headers fit for the caller.
 pub(crate) fn to_caller(headers: &mut HeaderMap) {
-    drop_hop_by_hop(headers);
+    remove_hop_by_hop_headers(headers);
     headers.remove(CONTENT_LENGTH);
 }
 
--- a/crates/bendhinge_router/src/run.rs
+++ b/crates/bendhinge_router/src/run.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bendhinge_codes::ExitStatus;
-use bendhinge_http::{ServeLimits, Server, Tasks, run_until, termination};
+use bendhinge_http::{ServeLimits, Server, Tasks, run_until, wait_for_termination};
 use bendhinge_ids::{Incarnation, RouterLife};
 use bendhinge_peer::Traffic;
 use bendhinge_timeline::EventKind;
@@ -148,7 +148,7 @@
         node.tasks.clone().spawn(callers.run(move |request| intake::handle(Arc::clone(&node), request)))
     };
     node.note(EventKind::Started { version: env!("CARGO_PKG_VERSION").to_owned() });
-    termination().await;
+    wait_for_termination().await;
     node.note(EventKind::Stopping);
     spdlog::info!("stopping; requests in progress are finished first");
     node.stopping.store(true, Ordering::Release);
--- a/crates/bendhinge_standin/src/process.rs
+++ b/crates/bendhinge_standin/src/process.rs
@@ -5,7 +5,7 @@
 use std::num::NonZeroUsize;
 use std::sync::Arc;
 
-use bendhinge_http::{Body, ServeLimits, Server, Tasks, run_until, termination};
+use bendhinge_http::{Body, ServeLimits, Server, Tasks, run_until, wait_for_termination};
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 
@@ -21,7 +21,7 @@
         println!("listening {name} {}", server.local_addr()?);
         tasks.spawn(server.run(handler)).detach();
         // A stand-in ends at once, as an upstream that is killed does.
-        termination().await;
+        wait_for_termination().await;
         Ok(())
     })
 }
