--- a/crates/bendhinge_delivery/src/identity.rs
+++ b/crates/bendhinge_delivery/src/identity.rs
@@ -1,35 +1,35 @@
-//! Which requests are the same one that came again.
+//! Request identity, used to recognise retries of the same request.
 
 use bendhinge_ids::{RequestDigest, RequestHint};
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The key of the digests: the same at all boxes of a fleet, so that they mean the same requests, and unknown
-/// elsewhere, so that a short body cannot be found by trying.
+/// The secret key for request digests. All boxes of a fleet share it, so that their digests agree; it must
+/// stay secret, so that a short body cannot be recovered by brute force.
 #[derive(Clone)]
 pub struct IdentityKey(pub [u8; 32]);
 
-/// What makes two requests the same, whatever number each try has and whichever box it reaches. What a caller
-/// may vary at will beside it, such as other headers, is no part of it.
+/// The fields that identify a request across retries and boxes. Other headers, which a caller may vary freely,
+/// are excluded.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// Whose it is: two customers' requests are never the same.
+    /// The customer that sent the request.
     pub customer: &'a str,
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// Its path and query.
+    /// The path and query.
     pub target: &'a str,
-    /// Its body.
+    /// The request body.
     pub body: &'a [u8],
 }
 
 impl RequestIdentity<'_> {
-    /// What tells it from nearly all others, without a look at its body: 50 to 100 ns.
+    /// Computes a fast hash of the request that includes the length of the body but not its content.
     #[must_use]
     #[expect(clippy::missing_panics_doc, reason = "32 bytes hold 8")]
     pub fn hint(&self, key: &IdentityKey) -> RequestHint {
-        let secret = u64::from_le_bytes(*key.0.first_chunk().expect("32 bytes hold 8"));
+        let secret = u64::from_le_bytes(*key.0.first_chunk().expect("32 bytes contain 8"));
         let mut hash = Xxh3::with_seed(secret);
         for part in [self.customer, self.method, self.target] {
             hash.update(&(part.len() as u64).to_be_bytes());
@@ -39,18 +39,18 @@
         RequestHint(hash.digest())
     }
 
-    /// The digest under `key`: behind the hint, the first bytes of an HMAC with SHA-256.
+    /// Computes the digest under `key`: the hint, followed by a truncated HMAC-SHA-256.
     #[must_use]
     #[expect(clippy::missing_panics_doc, reason = "keys of every length are taken")]
     pub fn digest(&self, key: &IdentityKey) -> RequestDigest {
-        let mut hash = Hmac::<Sha256>::new_from_slice(&key.0).expect("keys of every length are taken");
+        let mut hash = Hmac::<Sha256>::new_from_slice(&key.0).expect("HMAC accepts keys of any length");
         for part in [self.customer.as_bytes(), self.method.as_bytes(), self.target.as_bytes(), self.body] {
-            // With its length before it, no part can stand for the end of another.
+            // Length prefixes keep the boundaries between parts unambiguous.
             hash.update(&(part.len() as u64).to_be_bytes());
             hash.update(part);
         }
-        let whole: [u8; 32] = hash.finalize().into_bytes().into();
-        let rest = u64::from_be_bytes(*whole.first_chunk().expect("32 bytes hold 8"));
-        RequestDigest::new(self.hint(key), rest)
+        let mac: [u8; 32] = hash.finalize().into_bytes().into();
+        let suffix = u64::from_be_bytes(*mac.first_chunk().expect("32 bytes contain 8"));
+        RequestDigest::new(self.hint(key), suffix)
     }
 }
--- a/crates/bendhinge_delivery/tests/identity.rs
+++ b/crates/bendhinge_delivery/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Which requests count as the same.
+//! Request identity digests.
 
 use bendhinge_delivery::{IdentityKey, RequestIdentity};
 
@@ -8,18 +8,18 @@
     RequestIdentity { customer: "one", method: "POST", target: "/minutes/7?full=1", body: b"summarise" };
 
 #[test]
-fn the_same_request_has_the_same_digest_wherever_it_comes() {
+fn equal_requests_have_equal_digests() {
     assert_eq!(REQUEST.digest(&KEY), REQUEST.digest(&IdentityKey([7; 32])));
 }
 
 #[test]
-fn whatever_differs_makes_another_request() {
+fn any_differing_field_changes_the_digest() {
     let others = [
         RequestIdentity { customer: "two", ..REQUEST },
         RequestIdentity { method: "PUT", ..REQUEST },
         RequestIdentity { target: "/minutes/7?full=0", ..REQUEST },
         RequestIdentity { body: b"summarize", ..REQUEST },
-        // What moves from one part to the next is not the same either.
+        // Moving bytes from one field to the next changes the digest.
         RequestIdentity { customer: "oneP", method: "OST", ..REQUEST },
     ];
     for other in others {
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn the_hint_is_a_part_of_the_digest_that_needs_no_look_at_the_body() {
+fn hint_depends_on_body_length_but_not_content() {
     assert_eq!(REQUEST.digest(&KEY).hint(), REQUEST.hint(&KEY));
-    let alike = RequestIdentity { body: b"summarize", ..REQUEST };
-    assert_eq!(alike.hint(&KEY), REQUEST.hint(&KEY));
+    let same_length = RequestIdentity { body: b"summarize", ..REQUEST };
+    assert_eq!(same_length.hint(&KEY), REQUEST.hint(&KEY));
     let longer = RequestIdentity { body: b"summarise all", ..REQUEST };
     assert_ne!(longer.hint(&KEY), REQUEST.hint(&KEY));
     assert_ne!(RequestIdentity { customer: "two", ..REQUEST }.hint(&KEY), REQUEST.hint(&KEY));
@@ -39,6 +39,6 @@
 }
 
 #[test]
-fn another_fleet_has_other_digests() {
+fn digest_depends_on_the_key() {
     assert_ne!(REQUEST.digest(&KEY), REQUEST.digest(&IdentityKey([8; 32])));
 }
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -294,8 +294,8 @@
         self.tasks
             .spawn(async move {
                 match keep {
-                    Some(keep) => delivering.pool.give_back_for(connection, keep).await,
-                    None => delivering.pool.give_back(connection).await,
+                    Some(keep) => delivering.pool.release_with_idle_timeout(connection, keep).await,
+                    None => delivering.pool.release(connection).await,
                 }
             })
             .detach();
--- a/crates/bendhinge_gateway/src/delivery/crash.rs
+++ b/crates/bendhinge_gateway/src/delivery/crash.rs
@@ -82,12 +82,12 @@
 /// that it may not have to give. A box that is gone, or the way to it, gives no answer instead.
 async fn is_refused_by(delivering: &Delivering, upstream: &UpstreamEntry) -> bool {
     Timer::after(ENDING).await;
-    if delivering.upstreams.has_own(upstream.hash) || delivering.pool.has_idle(upstream.address) {
+    if delivering.upstreams.has_own(upstream.hash) || delivering.pool.has_idle_connection(upstream.address) {
         return false;
     }
     match delivering.pool.connect(upstream.address).await {
         Ok(connection) => {
-            delivering.pool.give_back(connection).await;
+            delivering.pool.release(connection).await;
             false
         }
         Err(ConnectError::Io(error)) => error.kind() == ErrorKind::ConnectionRefused,
--- a/crates/bendhinge_http/src/client.rs
+++ b/crates/bendhinge_http/src/client.rs
@@ -80,7 +80,7 @@
         let (answer, connection) = within(silence, begin(pool, address, request)).await?;
         let (head, body) = answer.into_parts();
         let body = read_body(ReadTimeoutBody::new(body, silence), limit).await?;
-        pool.give_back(connection).await;
+        pool.release(connection).await;
         Ok(Fetched { status: head.status, headers: head.headers, body })
     };
     // Boxed: it holds a whole exchange, and so would everything that waits for it.
--- a/crates/bendhinge_http/src/pool.rs
+++ b/crates/bendhinge_http/src/pool.rs
@@ -1,4 +1,4 @@
-//! Reused connections to upstreams, with certainty about what was sent.
+//! Client connection pool that reports whether a failed request was sent.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,26 +15,26 @@
 
 use crate::{Body, Tasks};
 
-/// Why no connection could be made; nothing was sent.
+/// A connection could not be established; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
     /// The connection was refused or failed.
     #[error("cannot connect: {0}")]
     Io(#[from] std::io::Error),
-    /// It took longer than allowed.
-    #[error("connecting took too long")]
+    /// The connect timeout expired.
+    #[error("connect timeout expired")]
     Timeout,
-    /// The HTTP layer could not start.
-    #[error("cannot start HTTP: {0}")]
+    /// The HTTP handshake failed.
+    #[error("HTTP handshake failed: {0}")]
     Http(#[from] hyper::Error),
 }
 
-/// Why a request got no answer.
+/// A request that received no response.
 #[derive(Debug)]
 pub enum SendFailure {
-    /// No byte of the request was written: it comes back and did not run.
+    /// No byte was written, so the request did not run. It is returned to the sender.
     NotSent(Box<Request<Body>>),
-    /// Some of it may have been written: whether it ran is not known.
+    /// Part of the request may have been written; it may have run.
     Unknown(hyper::Error),
 }
 
@@ -42,14 +42,14 @@
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<Body>,
-    /// The address it leads to.
+    /// The remote address.
     pub address: SocketAddr,
-    /// Whether it carried a request before, so that the upstream may be closing it.
+    /// Whether an earlier request used this connection; the upstream may then be closing it.
     pub reused: bool,
 }
 
 impl Connection {
-    /// Sends one request and waits for the head of its answer.
+    /// Sends a request and waits for the response head.
     pub async fn send(&mut self, request: Request<Body>) -> Result<Response<Incoming>, SendFailure> {
         let sent = self.sender.try_send_request(request).await;
         sent.map_err(|mut failure| match failure.take_message() {
@@ -59,115 +59,125 @@
     }
 }
 
-struct Idle {
+struct IdleConnection {
     sender: SendRequest<Body>,
-    since: Instant,
-    keep: Duration,
+    idle_since: Instant,
+    idle_timeout: Duration,
 }
 
-/// Idle connections by address.
+/// A pool of idle connections, keyed by address.
 pub struct Pool {
     tasks: Tasks,
-    idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
-    connect_time: Duration,
-    idle_time: Duration,
-    idle_per_address: usize,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
+    connect_timeout: Duration,
+    max_idle_timeout: Duration,
+    max_idle_per_address: usize,
 }
 
 impl Pool {
-    /// A pool whose connections are made within `connect_time` and kept idle for `idle_time`.
+    /// Creates a pool with the given connect and idle timeouts.
     #[must_use]
-    pub fn new(tasks: Tasks, connect_time: Duration, idle_time: Duration) -> Self {
-        const IDLE_PER_ADDRESS: usize = 256;
-        Self { tasks, idle: Mutex::default(), connect_time, idle_time, idle_per_address: IDLE_PER_ADDRESS }
+    pub fn new(tasks: Tasks, connect_timeout: Duration, max_idle_timeout: Duration) -> Self {
+        const MAX_IDLE_PER_ADDRESS: usize = 256;
+        Self {
+            tasks,
+            idle: Mutex::default(),
+            connect_timeout,
+            max_idle_timeout,
+            max_idle_per_address: MAX_IDLE_PER_ADDRESS,
+        }
     }
 
     /// An idle connection to `address`, or a new one.
     pub async fn connection(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
-        self.connection_used_within(address, self.idle_time).await
+        self.connection_used_within(address, self.max_idle_timeout).await
     }
 
-    /// An idle connection to `address` that was used within `span`, or a new one. The longer one
-    /// stood idle, the likelier is it that the upstream is closing it.
+    /// Returns a connection to `address` that has been idle for less than `max_idle`, or a new one.
+    /// The longer a connection is idle, the more likely the upstream is closing it.
     pub async fn connection_used_within(
         &self,
         address: SocketAddr,
-        span: Duration,
+        max_idle: Duration,
     ) -> Result<Connection, ConnectError> {
-        match self.take_idle(address, span) {
+        match self.take_idle(address, max_idle) {
             Some(sender) => Ok(Connection { sender, address, reused: true }),
             None => self.connect(address).await,
         }
     }
 
-    fn take_idle(&self, address: SocketAddr, span: Duration) -> Option<SendRequest<Body>> {
+    fn take_idle(&self, address: SocketAddr, max_idle: Duration) -> Option<SendRequest<Body>> {
         let mut idle = self.idle.lock().unwrap();
         let connections = idle.get_mut(&address)?;
-        // The last one used is tried first; those below it have stood idle for longer.
+        // The most recently used connection is last.
         while let Some(candidate) = connections.last() {
-            let age = candidate.since.elapsed();
-            if age >= span && candidate.sender.is_ready() && age < candidate.keep {
+            let age = candidate.idle_since.elapsed();
+            if age >= max_idle && candidate.sender.is_ready() && age < candidate.idle_timeout {
                 return None;
             }
             let candidate = connections.pop()?;
-            if candidate.sender.is_ready() && age < candidate.keep {
+            if candidate.sender.is_ready() && age < candidate.idle_timeout {
                 return Some(candidate.sender);
             }
         }
         None
     }
 
-    /// Whether a connection to `address` stands idle, and open as far as was seen.
-    pub fn has_idle(&self, address: SocketAddr) -> bool {
+    /// Whether the pool holds an idle connection to `address` that is not known to be closed.
+    pub fn has_idle_connection(&self, address: SocketAddr) -> bool {
         let idle = self.idle.lock().unwrap();
         idle.get(&address).is_some_and(|connections| connections.iter().any(|one| one.sender.is_ready()))
     }
 
-    /// Closes connections that have stood idle for too long.
+    /// Closes connections whose idle timeout has expired.
     pub fn prune(&self) {
         let mut idle = self.idle.lock().unwrap();
         idle.retain(|_, connections| {
-            connections.retain(|one| one.sender.is_ready() && one.since.elapsed() < one.keep);
+            connections.retain(|one| one.sender.is_ready() && one.idle_since.elapsed() < one.idle_timeout);
             !connections.is_empty()
         });
     }
 
-    /// A new connection to `address`.
+    /// Opens a new connection to `address`.
     pub async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         let connecting = async { TcpStream::connect(address).await.map_err(ConnectError::from) };
-        let too_long = async {
-            Timer::after(self.connect_time).await;
+        let timeout = async {
+            Timer::after(self.connect_timeout).await;
             Err(ConnectError::Timeout)
         };
-        let stream = connecting.or(too_long).await?;
+        let stream = connecting.or(timeout).await?;
         stream.set_nodelay(true)?;
-        // Else a copy of each request's body is kept as long as its connection stands.
+        // Without vectored writes, hyper keeps a copy of each request body while the connection is open.
         let mut builder = http1::Builder::new();
         let (sender, connection) = builder.writev(true).handshake(FuturesIo::new(stream)).await?;
         self.tasks
             .spawn(async move {
-                // Its error reaches whoever waits for the answer.
+                // `Connection::send` reports the error.
                 let _ = connection.await;
             })
             .detach();
         Ok(Connection { sender, address, reused: false })
     }
 
-    /// Takes a connection back once the body of its last answer was read to the end.
-    pub async fn give_back(&self, connection: Connection) {
-        self.give_back_for(connection, self.idle_time).await;
+    /// Returns a connection to the pool. Its last response body must have been read to the end.
+    pub async fn release(&self, connection: Connection) {
+        self.release_with_idle_timeout(connection, self.max_idle_timeout).await;
     }
 
-    /// Takes a connection back and keeps it idle for `keep` at most.
-    pub async fn give_back_for(&self, mut connection: Connection, keep: Duration) {
+    /// Returns a connection to the pool, to be kept idle for at most `idle_timeout`.
+    pub async fn release_with_idle_timeout(&self, mut connection: Connection, idle_timeout: Duration) {
         if connection.sender.ready().await.is_err() {
             return;
         }
         let mut idle = self.idle.lock().unwrap();
         let connections = idle.entry(connection.address).or_default();
-        if connections.len() < self.idle_per_address {
-            let keep = keep.min(self.idle_time);
-            connections.push(Idle { sender: connection.sender, since: Instant::now(), keep });
+        if connections.len() < self.max_idle_per_address {
+            let idle_timeout = idle_timeout.min(self.max_idle_timeout);
+            connections.push(IdleConnection {
+                sender: connection.sender,
+                idle_since: Instant::now(),
+                idle_timeout,
+            });
         }
     }
 }
--- a/crates/bendhinge_lab/src/client.rs
+++ b/crates/bendhinge_lab/src/client.rs
@@ -240,7 +240,7 @@
     }
     outcome.whole = true;
     outcome.content = String::from_utf8_lossy(&bytes).into_owned();
-    pool.give_back(connection).await;
+    pool.release(connection).await;
     outcome
 }
 
--- a/crates/bendhinge_lab/src/gateways/caller.rs
+++ b/crates/bendhinge_lab/src/gateways/caller.rs
@@ -151,7 +151,7 @@
         let headers = answer.headers().clone();
         let told = judge(call, answer).await;
         if matches!(told, Told::Whole | Told::Status(_)) {
-            self.pool.give_back(connection).await;
+            self.pool.release(connection).await;
         }
         Answer { told, headers }
     }
--- a/crates/bendhinge_router/src/delivery/attempt.rs
+++ b/crates/bendhinge_router/src/delivery/attempt.rs
@@ -182,7 +182,7 @@
     if head.status == StatusCode::OK && serde_json::from_slice::<serde::de::IgnoredAny>(&gathered).is_err() {
         return Err(AttemptEnd::BadAnswer);
     }
-    node.upstreams.give_back(connection).await;
+    node.upstreams.release(connection).await;
     Ok((head, AttemptBody::Gathered(gathered)))
 }
 
--- a/crates/bendhinge_router/src/delivery/relay.rs
+++ b/crates/bendhinge_router/src/delivery/relay.rs
@@ -127,7 +127,7 @@
         let (Some(held), Some(connection)) = (self.held.take(), self.connection.take()) else { return };
         let node = Arc::clone(&held.node);
         let tasks = Arc::clone(&node.tasks);
-        tasks.spawn(async move { node.upstreams.give_back(connection).await }).detach();
+        tasks.spawn(async move { node.upstreams.release(connection).await }).detach();
         held.finished();
     }
 
