--- a/crates/bendhinge_codes/src/lib.rs
+++ b/crates/bendhinge_codes/src/lib.rs
@@ -1,7 +1,7 @@
-//! The numbered result codes that callers, operators and logs see.
+//! Numbered result codes, used in responses, logs and command output.
 //!
 //! Every code is declared once, in [`ResultCode`]; the table in `docs/RESULT-CODES.md` is
-//! generated from that declaration by [`markdown_table`] and compared in CI.
+//! generated from that declaration by [`markdown_table`] and checked in CI.
 
 mod code;
 mod status;
--- a/crates/bendhinge_codes/src/status.rs
+++ b/crates/bendhinge_codes/src/status.rs
@@ -1,21 +1,21 @@
-//! What became of a request, and how a command ended.
+//! Request execution status and command exit status.
 
 use std::fmt;
 use std::process::{ExitCode, Termination};
 
-/// Whether an upstream ran a request: three outcomes, never two.
+/// Whether an upstream ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ran {
-    /// An upstream answered it.
+    /// An upstream responded to the request.
     Yes,
-    /// No byte of it can have reached an upstream.
+    /// The request did not run and will not.
     No,
-    /// Some of it may have reached an upstream, which did not say what became of it.
+    /// The request may have reached an upstream, which did not report the outcome.
     Unknown,
 }
 
 impl Ran {
-    /// The word used in the `x-bendhinge-ran` header and in error bodies.
+    /// The value used in the `x-bendhinge-ran` header and in error bodies.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -32,14 +32,14 @@
     }
 }
 
-/// How a command of this project ended.
+/// The exit status of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// All was done (0).
+    /// The command succeeded (0).
     Success,
-    /// The command ran and found a fault in what it was given (1).
+    /// The command found an error in its input (1).
     Failure,
-    /// The command could not be run as it was called (2).
+    /// The command line was invalid (2).
     Usage,
 }
 
--- a/crates/bendhinge_codes/src/table.rs
+++ b/crates/bendhinge_codes/src/table.rs
@@ -1,10 +1,10 @@
-//! The users' table of result codes.
+//! The Markdown table of result codes.
 
 use std::fmt::Write as _;
 
 use crate::ResultCode;
 
-/// Renders the table that stands in `docs/RESULT-CODES.md`.
+/// Renders the contents of `docs/RESULT-CODES.md`.
 #[must_use]
 pub fn markdown_table() -> String {
     let mut page = String::from(
--- a/crates/bendhinge_delivery/src/attempt.rs
+++ b/crates/bendhinge_delivery/src/attempt.rs
@@ -1,73 +1,73 @@
-//! What follows from the end of an attempt.
+//! Retry decision after a failed attempt.
 
 use bendhinge_codes::ResultCode;
 
 /// Whether a request may be sent to an upstream more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeatable {
-    /// Running it twice does no harm; its caller sees one answer.
+    /// The request may be sent again even if an earlier attempt may have run.
     Yes,
-    /// It may run at most once.
+    /// The request may run at most once.
     Never,
 }
 
-/// How an attempt ended without a whole answer.
+/// How an attempt failed to produce a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No connection was made.
+    /// No connection was established.
     NotConnected,
     /// The connection closed before a byte of the request was written.
     NotSent,
-    /// The connection was lost after some of the request may have been written, before any of
-    /// the answer was passed on.
+    /// The connection was lost after part of the request may have been written, and before any
+    /// of the response was forwarded.
     Lost,
-    /// The time limit passed, before any of the answer was passed on.
+    /// The timeout expired before any of the response was forwarded.
     TimedOut,
-    /// The answer was not a whole HTTP answer, and none of it was passed on.
+    /// The response was invalid or incomplete, and none of it was forwarded.
     BadAnswer,
-    /// The answer broke off after part of it was passed on.
+    /// The response was truncated after part of it was forwarded.
     CutShort,
 }
 
 impl AttemptEnd {
     /// Whether it is certain that no byte of the request reached an upstream.
     #[must_use]
-    pub const fn surely_not_run(self) -> bool {
+    pub const fn definitely_not_run(self) -> bool {
         matches!(self, Self::NotConnected | Self::NotSent)
     }
 }
 
-/// What to do next.
+/// The action to take after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Try another upstream.
+    /// Retry on another upstream.
     TryAnother,
-    /// Give the caller this final answer now.
+    /// Respond to the caller with this result code.
     Answer(ResultCode),
 }
 
-/// Decides what follows an attempt. `certain_so_far` says that no earlier attempt of this
-/// request may have run; `may_retry` says that attempts and the retry budget allow another.
+/// Decides whether to retry after a failed attempt. `not_run_so_far` is true if no attempt of this
+/// request may have run; `may_retry` is true if the attempt limit and the retry budget allow another.
 #[must_use]
 pub const fn next_step(
     end: AttemptEnd,
     repeatable: Repeatable,
-    certain_so_far: bool,
+    not_run_so_far: bool,
     may_retry: bool,
 ) -> NextStep {
     if matches!(end, AttemptEnd::CutShort) {
-        // A second answer must never be spliced onto part of a first.
+        // Part of a response was already forwarded, so another cannot follow it.
         return NextStep::Answer(ResultCode::AnswerCutShort);
     }
-    let harmless = end.surely_not_run() || matches!(repeatable, Repeatable::Yes);
-    if harmless && may_retry {
+    let safe_to_retry = end.definitely_not_run() || matches!(repeatable, Repeatable::Yes);
+    if safe_to_retry && may_retry {
         return NextStep::TryAnother;
     }
-    NextStep::Answer(final_code(end, repeatable, certain_so_far))
+    NextStep::Answer(final_code(end, repeatable, not_run_so_far))
 }
 
-const fn final_code(end: AttemptEnd, repeatable: Repeatable, certain_so_far: bool) -> ResultCode {
-    if end.surely_not_run() && certain_so_far {
+const fn final_code(end: AttemptEnd, repeatable: Repeatable, not_run_so_far: bool) -> ResultCode {
+    if end.definitely_not_run() && not_run_so_far {
         return ResultCode::UpstreamNotReached;
     }
     match (repeatable, end) {
--- a/crates/bendhinge_delivery/src/course.rs
+++ b/crates/bendhinge_delivery/src/course.rs
@@ -29,7 +29,7 @@
 impl SendEnd {
     /// Whether it is certain that the request did not run there and will not.
     #[must_use]
-    pub const fn surely_not_run(self) -> bool {
+    pub const fn definitely_not_run(self) -> bool {
         matches!(self, Self::NotConnected | Self::NotSent | Self::Rejected | Self::Replaced)
     }
 
@@ -93,7 +93,7 @@
         if end.arrived() {
             self.arrivals += 1;
         }
-        if !end.surely_not_run() {
+        if !end.definitely_not_run() {
             self.possible_runs += 1;
         }
         self.may_go_on()
--- a/crates/bendhinge_delivery/src/lib.rs
+++ b/crates/bendhinge_delivery/src/lib.rs
@@ -1,7 +1,7 @@
-//! One answer, whole, to its own request: what an attempt's end means, when another attempt is
-//! allowed, and how a request marked as not repeatable runs at most once.
+//! Request delivery rules: classification of failed attempts, retry decisions, and at-most-once
+//! execution of requests marked as not repeatable.
 //!
-//! `docs/design/DELIVERY.md` says what was weighed.
+//! See `docs/design/DELIVERY.md` for the design.
 
 mod attempt;
 mod course;
--- a/crates/bendhinge_delivery/tests/attempt.rs
+++ b/crates/bendhinge_delivery/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of an attempt: a table of all cases.
+//! Retry decisions for all combinations of inputs.
 
 use bendhinge_codes::{Ran, ResultCode};
 use bendhinge_delivery::{AttemptEnd, NextStep, Repeatable, next_step};
@@ -12,35 +12,35 @@
     AttemptEnd::CutShort,
 ];
 
-/// Over all cases: "not run" only while certain, no second attempt of what may have run and may
-/// not be repeated, nothing after part of an answer, and no invitation to repeat what may not be.
+/// Guards against duplicate runs, responses joined from two attempts, wrong "not run" results and
+/// retry invitations for requests that must not be repeated.
 #[test]
-fn every_case_is_honest() {
+fn retry_decisions_are_safe_in_all_cases() {
     for end in ENDS {
         for repeatable in [Repeatable::Yes, Repeatable::Never] {
-            for certain_before in [true, false] {
+            for not_run_before in [true, false] {
                 for may_retry in [true, false] {
-                    let certain = certain_before && end.surely_not_run();
-                    check(end, repeatable, certain, may_retry);
+                    let not_run = not_run_before && end.definitely_not_run();
+                    check(end, repeatable, not_run, may_retry);
                 }
             }
         }
     }
 }
 
-fn check(end: AttemptEnd, repeatable: Repeatable, certain: bool, may_retry: bool) {
-    let case = format!("{end:?} {repeatable:?} certain {certain} may retry {may_retry}");
-    match next_step(end, repeatable, certain, may_retry) {
+fn check(end: AttemptEnd, repeatable: Repeatable, not_run: bool, may_retry: bool) {
+    let case = format!("{end:?} {repeatable:?} not_run {not_run} may retry {may_retry}");
+    match next_step(end, repeatable, not_run, may_retry) {
         NextStep::TryAnother => {
             assert!(may_retry, "{case}: beyond the budget");
             assert_ne!(end, AttemptEnd::CutShort, "{case}: two answers would be spliced");
-            assert!(repeatable == Repeatable::Yes || end.surely_not_run(), "{case}: it may run twice");
+            assert!(repeatable == Repeatable::Yes || end.definitely_not_run(), "{case}: it may run twice");
         }
         NextStep::Answer(code) => {
             if code.ran() == Some(Ran::No) {
-                assert!(certain, "{case}: {code} says that it did not run");
+                assert!(not_run, "{case}: {code} says that it did not run");
             }
-            if repeatable == Repeatable::Never && !certain {
+            if repeatable == Repeatable::Never && !not_run {
                 assert!(!code.invites_retry(), "{case}: {code} invites a retry");
             }
             if end == AttemptEnd::CutShort {
@@ -50,9 +50,9 @@
     }
 }
 
-/// What certainly did not run is tried again also if it may not be repeated.
+/// A request that did not run is retried even if it is not repeatable.
 #[test]
-fn what_did_not_run_is_tried_again() {
+fn request_that_did_not_run_is_retried() {
     for end in [AttemptEnd::NotConnected, AttemptEnd::NotSent] {
         assert_eq!(next_step(end, Repeatable::Never, true, true), NextStep::TryAnother);
     }
--- a/crates/bendhinge_delivery/tests/course.rs
+++ b/crates/bendhinge_delivery/tests/course.rs
@@ -67,7 +67,7 @@
             assert!(may_have_run == 0 || repeatable, "sent again although it may have run");
             let end = *source.choose(&ALL)?;
             goes_on = course.ended(end);
-            may_have_run += u32::from(!end.surely_not_run());
+            may_have_run += u32::from(!end.definitely_not_run());
             assert!(may_have_run <= attempts);
             let code = course.final_code(source.arbitrary()?);
             assert_eq!(code.ran() == Some(Ran::No), may_have_run == 0, "{code}");
--- a/crates/bendhinge_http/src/lib.rs
+++ b/crates/bendhinge_http/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 over `smol`: a server loop, a pooled client that knows what was sent, and the
-//! workers that run both. All protocol work is hyper's.
+//! HTTP/1.1 over `smol`, based on hyper: a server, a pooled client that reports whether a failed
+//! request was sent, and the worker threads for both.
 
 mod body;
 mod client;
--- a/crates/bendhinge_router/src/delivery/mod.rs
+++ b/crates/bendhinge_router/src/delivery/mod.rs
@@ -136,7 +136,7 @@
         let ended = EventKind::AttemptEnded { upstream: upstream.to_string(), end: name };
         self.node.note_request(self.turn.request, ended);
         self.tried.push(upstream);
-        self.certain &= end.surely_not_run();
+        self.certain &= end.definitely_not_run();
         let left = self.tried.len() < self.node.settings.limits.attempts.get() as usize;
         let may_retry =
             left && failure.body_is_whole && admission::may_retry(self.node, &self.turn.pool.name);
