--- a/crates/bendhinge_delivery/src/lib.rs
+++ b/crates/bendhinge_delivery/src/lib.rs
@@ -4,15 +4,15 @@
 //! See `docs/design/DELIVERY.md` for the design.
 
 mod attempt;
-mod course;
 mod events;
 mod identity;
 mod once;
 mod ownership;
+mod retry;
 
 pub use attempt::{AttemptEnd, NextStep, Repeatable, next_step};
-pub use course::{Course, CourseRules, SendEnd};
 pub use events::EventSplitter;
 pub use identity::{IdentityKey, RequestIdentity};
 pub use once::{Claim, Claimant, OnceKey, OnceLedger, OnceLimits, OnceOutcome};
 pub use ownership::OwnershipHistory;
+pub use retry::{RetryPolicy, RetryState, SendOutcome};
--- /dev/null
+++ b/crates/bendhinge_delivery/src/retry.rs
@@ -0,0 +1,146 @@
+//! Retry state of one request: whether it may be sent again, and its final result code.
+
+use bendhinge_codes::{Ran, ResultCode};
+
+/// How a send failed to produce a response that can be forwarded.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SendOutcome {
+    /// No connection was established.
+    NotConnected,
+    /// The connection closed before a byte was written.
+    NotSent,
+    /// The upstream reported that it did not run the request.
+    Rejected,
+    /// The address belongs to another upstream, which did not run the request.
+    Replaced,
+    /// The connection was lost after the upstream may have read part of the request.
+    Lost,
+    /// The upstream did not respond within the timeout.
+    TimedOut,
+    /// The response was invalid or belonged to another request.
+    InvalidResponse,
+    /// The upstream responded with a failure, and that response is kept.
+    Failed,
+    /// The send was cancelled because another send of the request got a response.
+    Superseded,
+}
+
+impl SendOutcome {
+    /// Whether the request certainly did not run on this upstream and will not.
+    #[must_use]
+    pub const fn definitely_not_run(self) -> bool {
+        matches!(self, Self::NotConnected | Self::NotSent | Self::Rejected | Self::Replaced)
+    }
+
+    /// Whether the request may have reached an upstream. Later sends then count against the retry budget.
+    #[must_use]
+    pub const fn reached_upstream(self) -> bool {
+        !matches!(self, Self::NotConnected | Self::NotSent)
+    }
+
+    /// The name used in logs and metrics.
+    #[must_use]
+    pub const fn as_str(self) -> &'static str {
+        match self {
+            Self::NotConnected => "not_connected",
+            Self::NotSent => "not_sent",
+            Self::Rejected => "rejected",
+            Self::Replaced => "replaced",
+            Self::Lost => "lost",
+            Self::TimedOut => "silent",
+            Self::InvalidResponse => "spoilt",
+            Self::Failed => "failed",
+            Self::Superseded => "overtaken",
+        }
+    }
+}
+
+/// The retry policy of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RetryPolicy {
+    /// Whether the request may be sent again after it may have run.
+    pub repeatable: bool,
+    /// The maximum number of upstreams on which the request may run.
+    pub max_attempts: u32,
+}
+
+/// Extra sends allowed for attempts that certainly did not run.
+const MAX_EXTRA_SENDS: u32 = 2;
+
+/// The state of a request across its sends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RetryState {
+    policy: RetryPolicy,
+    sends: u32,
+    possible_runs: u32,
+    reached_count: u32,
+    last_outcome: Option<SendOutcome>,
+}
+
+impl RetryState {
+    /// Creates the state of a request that has not been sent yet.
+    #[must_use]
+    pub const fn new(policy: RetryPolicy) -> Self {
+        Self { policy, sends: 0, possible_runs: 0, reached_count: 0, last_outcome: None }
+    }
+
+    /// Records the outcome of a send. Returns whether another may follow, subject to the retry budget.
+    pub const fn record_outcome(&mut self, end: SendOutcome) -> bool {
+        self.sends += 1;
+        self.last_outcome = Some(end);
+        if end.reached_upstream() {
+            self.reached_count += 1;
+        }
+        if !end.definitely_not_run() {
+            self.possible_runs += 1;
+        }
+        self.may_send()
+    }
+
+    /// Whether the request may be sent, or sent again.
+    #[must_use]
+    pub const fn may_send(&self) -> bool {
+        let safe_to_retry = self.possible_runs == 0 || self.policy.repeatable;
+        safe_to_retry
+            && self.possible_runs < self.policy.max_attempts
+            && self.sends < self.policy.max_attempts + MAX_EXTRA_SENDS
+    }
+
+    /// Whether a hedged send is allowed while the next send is slow to respond.
+    #[must_use]
+    pub const fn allows_hedge(&self) -> bool {
+        self.policy.repeatable && self.possible_runs + 1 < self.policy.max_attempts
+    }
+
+    /// The number of completed sends.
+    #[must_use]
+    pub const fn sends(&self) -> u32 {
+        self.sends
+    }
+
+    /// Whether the next send must be covered by the retry budget.
+    #[must_use]
+    pub const fn needs_retry_budget(&self) -> bool {
+        self.reached_count > 0
+    }
+
+    /// Whether the request may have run, provided that no response was forwarded.
+    #[must_use]
+    pub const fn ran(&self) -> Ran {
+        if self.possible_runs == 0 { Ran::No } else { Ran::Unknown }
+    }
+
+    /// The result code when no further send is made. `deadline_exceeded` is true if the request's
+    /// deadline has passed.
+    #[must_use]
+    pub const fn final_code(&self, deadline_exceeded: bool) -> ResultCode {
+        match (self.possible_runs, self.last_outcome) {
+            (0, None) => ResultCode::NoUpstream,
+            (0, Some(_)) => ResultCode::UpstreamNotReached,
+            (_, Some(SendOutcome::InvalidResponse)) => ResultCode::UpstreamBadAnswer,
+            (_, Some(SendOutcome::TimedOut)) => ResultCode::UpstreamTimeout,
+            _ if deadline_exceeded => ResultCode::UpstreamTimeout,
+            _ => ResultCode::UpstreamLost,
+        }
+    }
+}
--- /dev/null
+++ b/crates/bendhinge_delivery/tests/retry.rs
@@ -0,0 +1,85 @@
+//! Retry state: when a request may be sent again, and its final result code.
+
+use bendhinge_codes::{Ran, ResultCode};
+use bendhinge_delivery::{RetryPolicy, RetryState, SendOutcome};
+
+use SendOutcome::{Failed, InvalidResponse, Lost, NotConnected, NotSent, Rejected, Replaced, TimedOut};
+
+const ALL_OUTCOMES: [SendOutcome; 8] =
+    [NotConnected, NotSent, Rejected, Replaced, Lost, TimedOut, InvalidResponse, Failed];
+
+fn state(repeatable: bool, max_attempts: u32) -> RetryState {
+    RetryState::new(RetryPolicy { repeatable, max_attempts })
+}
+
+struct Case {
+    repeatable: bool,
+    max_attempts: u32,
+    outcomes: &'static [SendOutcome],
+    may_send: bool,
+    code: ResultCode,
+}
+
+#[test]
+fn retry_decisions_and_result_codes() {
+    let case = |repeatable, max_attempts, outcomes, may_send, code| Case {
+        repeatable,
+        max_attempts,
+        outcomes,
+        may_send,
+        code,
+    };
+    let cases = [
+        case(false, 1, &[Lost][..], false, ResultCode::UpstreamLost),
+        case(false, 2, &[Lost], false, ResultCode::UpstreamLost),
+        case(false, 1, &[TimedOut], false, ResultCode::UpstreamTimeout),
+        case(false, 1, &[InvalidResponse], false, ResultCode::UpstreamBadAnswer),
+        case(false, 1, &[NotConnected], true, ResultCode::UpstreamNotReached),
+        case(false, 1, &[Rejected], true, ResultCode::UpstreamNotReached),
+        case(false, 1, &[Rejected, Replaced], true, ResultCode::UpstreamNotReached),
+        case(false, 1, &[Rejected, Replaced, NotSent], false, ResultCode::UpstreamNotReached),
+        case(false, 1, &[Rejected, Lost], false, ResultCode::UpstreamLost),
+        case(true, 1, &[Lost], false, ResultCode::UpstreamLost),
+        case(true, 2, &[Lost], true, ResultCode::UpstreamLost),
+        case(true, 2, &[Lost, TimedOut], false, ResultCode::UpstreamTimeout),
+        case(true, 2, &[Failed, Rejected], true, ResultCode::UpstreamLost),
+        case(true, 2, &[Failed, Failed], false, ResultCode::UpstreamLost),
+    ];
+    for case in cases {
+        let mut state = state(case.repeatable, case.max_attempts);
+        let may_send = case.outcomes.iter().fold(true, |_, outcome| state.record_outcome(*outcome));
+        assert_eq!(may_send, case.may_send, "{:?}", case.outcomes);
+        assert_eq!(state.final_code(false), case.code, "{:?}", case.outcomes);
+    }
+}
+
+#[test]
+fn unsent_request_is_reported_as_not_run() {
+    let state = state(false, 1);
+    assert_eq!(state.ran(), Ran::No);
+    assert_eq!(state.final_code(true), ResultCode::NoUpstream);
+}
+
+/// Guards against resending a non-repeatable request that may have run, exceeding the attempt limit,
+/// and reporting "not run" when that is uncertain.
+#[test]
+fn random_outcomes_never_violate_the_policy() {
+    arbtest::arbtest(|source| {
+        let repeatable: bool = source.arbitrary()?;
+        let max_attempts: u32 = source.int_in_range(1..=4)?;
+        let mut state = state(repeatable, max_attempts);
+        let mut may_have_run = 0;
+        let mut may_send = true;
+        while may_send {
+            assert!(may_have_run == 0 || repeatable, "sent again although it may have run");
+            let outcome = *source.choose(&ALL_OUTCOMES)?;
+            may_send = state.record_outcome(outcome);
+            may_have_run += u32::from(!outcome.definitely_not_run());
+            assert!(may_have_run <= max_attempts);
+            let code = state.final_code(source.arbitrary()?);
+            assert_eq!(code.ran() == Some(Ran::No), may_have_run == 0, "{code}");
+            assert_eq!(code.http_status() == 503, may_have_run == 0, "{code}");
+        }
+        Ok(())
+    });
+}
--- a/crates/bendhinge_gateway/src/control/pages.rs
+++ b/crates/bendhinge_gateway/src/control/pages.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{Revision, UpstreamEntry, UpstreamList};
-use bendhinge_http::{FetchError, FetchTime, Fetched, empty_body, fetch};
+use bendhinge_http::{FetchError, FetchTimeouts, Fetched, empty_body, fetch};
 use bendhinge_ids::{DataCentreName, Instant};
 use hyper::{Request, StatusCode};
 use smol::Timer;
@@ -201,7 +201,7 @@
         let store = &self.settings.store;
         let request = Request::get(path).header("host", store.address.to_string());
         let request = request.body(empty_body()).map_err(|error| TranslateError::new("the path", &error))?;
-        let time = FetchTime { silence: store.call, whole };
+        let time = FetchTimeouts { read: store.call, total: whole };
         let fetched: Fetched =
             fetch(&self.delivering.pool, store.address, request, LARGEST_PAGE, time).await?;
         if fetched.status != StatusCode::OK {
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_delivery::SendEnd;
+use bendhinge_delivery::SendOutcome;
 use bendhinge_fleet::UpstreamEntry;
 use bendhinge_http::{Body, Connection, SendFailure, full_body, read_body};
 use bytes::Bytes;
@@ -42,7 +42,7 @@
 /// A send that ended without an answer that may be passed on, with an answer of the upstream
 /// that it failed.
 pub(super) struct Ended {
-    pub(super) end: SendEnd,
+    pub(super) end: SendOutcome,
     pub(super) failure: Option<Box<FailureAnswer>>,
 }
 
@@ -52,8 +52,8 @@
     pub(super) body: Bytes,
 }
 
-impl From<SendEnd> for Ended {
-    fn from(end: SendEnd) -> Self {
+impl From<SendOutcome> for Ended {
+    fn from(end: SendOutcome) -> Self {
         Self { end, failure: None }
     }
 }
@@ -93,7 +93,7 @@
         drop(heard.or(after(LISTENED_AFTER)).await);
     };
     tasks.spawn(listening).detach();
-    Err(SendEnd::Silent.into())
+    Err(SendOutcome::TimedOut.into())
 }
 
 async fn after<T>(time: Duration) -> Option<T> {
@@ -148,18 +148,18 @@
     } else {
         delivering.pool.connection_used_within(address, FRESH_CONNECTION).await
     };
-    let mut connection = connecting.map_err(|_| SendEnd::NotConnected)?;
+    let mut connection = connecting.map_err(|_| SendOutcome::NotConnected)?;
     // Connecting may have taken long, or the process may have been frozen meanwhile.
     if !delivering.may_still_be_sent(turn, chosen) {
-        return Err(SendEnd::NotSent.into());
+        return Err(SendOutcome::NotSent.into());
     }
     match send(&mut connection, request).await {
         Ok(answer) => Ok((answer, connection)),
         Err(NotAnswered::Unsent(request)) if connection.reused => {
             // An idle connection that the upstream had closed says nothing about the upstream.
-            connection = delivering.pool.connect(address).await.map_err(|_| SendEnd::NotConnected)?;
+            connection = delivering.pool.connect(address).await.map_err(|_| SendOutcome::NotConnected)?;
             if !delivering.may_still_be_sent(turn, chosen) {
-                return Err(SendEnd::NotSent.into());
+                return Err(SendOutcome::NotSent.into());
             }
             let answer = send(&mut connection, *request).await.map_err(|failure| failure.end())?;
             Ok((answer, connection))
@@ -170,13 +170,13 @@
 
 enum NotAnswered {
     Unsent(Box<Request<Body>>),
-    Ended(SendEnd),
+    Ended(SendOutcome),
 }
 
 impl NotAnswered {
-    const fn end(&self) -> SendEnd {
+    const fn end(&self) -> SendOutcome {
         match self {
-            Self::Unsent(_) => SendEnd::NotSent,
+            Self::Unsent(_) => SendOutcome::NotSent,
             Self::Ended(end) => *end,
         }
     }
@@ -188,8 +188,8 @@
 ) -> Result<Response<Incoming>, NotAnswered> {
     connection.send(request).await.map_err(|failure| match failure {
         SendFailure::NotSent(request) => NotAnswered::Unsent(request),
-        SendFailure::Unknown(error) if error.is_parse() => NotAnswered::Ended(SendEnd::Spoilt),
-        SendFailure::Unknown(_) => NotAnswered::Ended(SendEnd::Lost),
+        SendFailure::Unknown(error) if error.is_parse() => NotAnswered::Ended(SendOutcome::InvalidResponse),
+        SendFailure::Unknown(_) => NotAnswered::Ended(SendOutcome::Lost),
     })
 }
 
@@ -205,7 +205,7 @@
     let fields = delivering.dialect.read_answer(&head);
     if fields.id != turn.call.id {
         // A late answer to an earlier request: nothing on this connection can be trusted.
-        return Err(SendEnd::Spoilt.into());
+        return Err(SendOutcome::InvalidResponse.into());
     }
     if !fields.is_another {
         delivering.note_said(turn, &chosen.entry, &fields);
@@ -216,15 +216,15 @@
     }
     let is_success = head.status.is_success();
     if is_success && !fields.is_stamped {
-        return Err(SendEnd::Spoilt.into());
+        return Err(SendOutcome::InvalidResponse.into());
     }
     if is_success && turn.route.kind.is_stream() && is_event_stream(&head.headers) {
         return Ok((head, AttemptBody::Stream(body, connection)));
     }
-    let whole = gather(delivering, &head, body, connection).await.map_err(|()| SendEnd::Lost)?;
+    let whole = gather(delivering, &head, body, connection).await.map_err(|()| SendOutcome::Lost)?;
     if head.status.is_server_error() || promises_not_run(head.status) {
         let failure = Some(Box::new(FailureAnswer { head, body: whole }));
-        return Err(Ended { end: SendEnd::Failed, failure });
+        return Err(Ended { end: SendOutcome::Failed, failure });
     }
     Ok((head, AttemptBody::Whole(whole)))
 }
@@ -235,11 +235,11 @@
 }
 
 /// Only an upstream that says so itself did not run a request.
-const fn not_run(fields: &AnswerFields) -> Option<SendEnd> {
+const fn not_run(fields: &AnswerFields) -> Option<SendOutcome> {
     if fields.is_another {
-        return Some(SendEnd::Replaced);
+        return Some(SendOutcome::Replaced);
     }
-    if fields.not_run { Some(SendEnd::Rejected) } else { None }
+    if fields.not_run { Some(SendOutcome::Rejected) } else { None }
 }
 
 /// Statuses that promise that a request did not run. An upstream that answers with one without
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -10,7 +10,7 @@
 
 use bendhinge_admission::{Asker, Paced};
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::{Course, IdentityKey, RequestIdentity, SendEnd};
+use bendhinge_delivery::{IdentityKey, RequestIdentity, RetryState, SendOutcome};
 use bendhinge_fleet::UpstreamFailure;
 use bendhinge_http::{Body, Pool, Tasks, full_body};
 use bendhinge_ids::{Instant, NameHash, PoolName, RequestDigest};
@@ -160,9 +160,9 @@
         return Err(Refused::until(ResultCode::AllUpstreamsAtBound, after));
     }
     delivering.metrics.request();
-    let course = Course::new(bendhinge_delivery::CourseRules {
+    let course = RetryState::new(bendhinge_delivery::RetryPolicy {
         repeatable: turn.route.kind.is_repeatable(),
-        attempts: turn.route.attempts,
+        max_attempts: turn.route.attempts,
     });
     let line = RequestLine::new(&turn);
     let turn = Arc::new(turn);
@@ -209,7 +209,7 @@
 struct Delivery {
     delivering: Arc<Delivering>,
     turn: Arc<Turn>,
-    course: Course,
+    course: RetryState,
     /// Whether requests to its pool are paced.
     is_paced: bool,
     tried: Vec<NameHash>,
@@ -220,7 +220,7 @@
     /// Sends until an upstream's answer can be passed on.
     async fn next_answer(&mut self, resume_after: Option<&str>) -> Result<Attempt, GivenUp> {
         loop {
-            let sending = self.send(resume_after, self.course.has_spare_run())?;
+            let sending = self.send(resume_after, self.course.allows_hedge())?;
             match self.answer_to(sending, resume_after).await {
                 Ok(attempt) => {
                     self.delivering.upstreams.answered(attempt.chosen.entry.hash);
@@ -260,7 +260,7 @@
         mut first: Sending,
         resume_after: Option<&str>,
     ) -> Result<Attempt, FailedSend> {
-        if !self.course.has_spare_run() {
+        if !self.course.allows_hedge() {
             return first.ended().await;
         }
         if let Some(ended) = first.ended_within(self.patience()).await {
@@ -272,7 +272,7 @@
             Ok(attempt) => {
                 // Of a later send it says nothing that an earlier one was answered before it.
                 let is_later = other.sent.number > attempt.sent.number;
-                let end = if is_later { SendEnd::Overtaken } else { SendEnd::Silent };
+                let end = if is_later { SendOutcome::Superseded } else { SendOutcome::TimedOut };
                 self.note_end(&other.sent, end);
                 Ok(attempt)
             }
@@ -350,21 +350,21 @@
 
     /// Notes how a send ended, for the request and for what is known of its upstream; `false` if no
     /// other may follow.
-    fn note_end(&mut self, sent: &Sent, end: SendEnd) -> bool {
+    fn note_end(&mut self, sent: &Sent, end: SendOutcome) -> bool {
         let Delivering { upstreams, metrics, log, .. } = &*self.delivering;
         let Sent { number, upstream, at, .. } = sent;
         self.line.send_ended(*number, end);
         metrics.send_ended(end);
         match end {
-            SendEnd::Rejected if self.is_paced => {
+            SendOutcome::Rejected if self.is_paced => {
                 let upstreams = upstreams.working_in(&self.turn.pool);
                 self.delivering.pacing.turned_away(&self.turn.pool, upstream.hash, upstreams);
             }
-            SendEnd::Failed => {
+            SendOutcome::Failed => {
                 self.note_answer();
                 self.note_whole_answer();
             }
-            SendEnd::Lost => {
+            SendOutcome::Lost => {
                 self.line.same_as(self.turn.digest(&self.delivering.identities));
                 look_into(&self.delivering, &self.turn, sent.clone());
             }
@@ -373,7 +373,7 @@
         if upstream_failure(end).is_some_and(|failure| upstreams.failed(upstream.hash, failure, *at)) {
             log.upstream_rests(&upstream.name, end);
         }
-        self.course.ended(end)
+        self.course.record_outcome(end)
     }
 
     /// Notes, for the pace towards the pool, that an upstream answered.
@@ -397,7 +397,7 @@
         let FailedSend { sent, ended: Ended { end, failure } } = failed;
         let may_go_on = self.note_end(&sent, end);
         let time_is_over = self.turn.time_left().is_zero();
-        let affordable = || !self.course.needs_budget() || self.takes_second_send();
+        let affordable = || !self.course.needs_retry_budget() || self.takes_second_send();
         if may_go_on && !time_is_over && affordable() {
             return Ok(());
         }
@@ -439,14 +439,14 @@
 }
 
 /// What the end of a send says about the upstream.
-const fn upstream_failure(end: SendEnd) -> Option<UpstreamFailure> {
+const fn upstream_failure(end: SendOutcome) -> Option<UpstreamFailure> {
     match end {
-        SendEnd::NotConnected => Some(UpstreamFailure::NotConnected),
-        SendEnd::NotSent | SendEnd::Overtaken => None,
-        SendEnd::Rejected => Some(UpstreamFailure::Shed),
-        SendEnd::Replaced => Some(UpstreamFailure::Replaced),
-        SendEnd::Lost | SendEnd::Spoilt => Some(UpstreamFailure::Lost),
-        SendEnd::Silent => Some(UpstreamFailure::Silent),
-        SendEnd::Failed => Some(UpstreamFailure::Failed),
+        SendOutcome::NotConnected => Some(UpstreamFailure::NotConnected),
+        SendOutcome::NotSent | SendOutcome::Superseded => None,
+        SendOutcome::Rejected => Some(UpstreamFailure::Shed),
+        SendOutcome::Replaced => Some(UpstreamFailure::Replaced),
+        SendOutcome::Lost | SendOutcome::InvalidResponse => Some(UpstreamFailure::Lost),
+        SendOutcome::TimedOut => Some(UpstreamFailure::Silent),
+        SendOutcome::Failed => Some(UpstreamFailure::Failed),
     }
 }
--- a/crates/bendhinge_gateway/src/delivery/relay.rs
+++ b/crates/bendhinge_gateway/src/delivery/relay.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::{EventSplitter, SendEnd};
+use bendhinge_delivery::{EventSplitter, SendOutcome};
 use bendhinge_http::{Body, BodyError, Connection, flush_before_error};
 use bytes::Bytes;
 use futures_lite::{FutureExt, Stream, StreamExt, stream};
@@ -50,7 +50,7 @@
 enum Heard {
     Bytes(Bytes),
     End,
-    Broke(SendEnd),
+    Broke(SendOutcome),
 }
 
 impl Relay {
@@ -81,17 +81,17 @@
 
     async fn hear(&mut self) -> Heard {
         let patience = self.patience();
-        let Some(source) = &mut self.source else { return Heard::Broke(SendEnd::Lost) };
+        let Some(source) = &mut self.source else { return Heard::Broke(SendOutcome::Lost) };
         let reading = async {
             match source.body.frame().await {
                 None => Heard::End,
-                Some(Err(_)) => Heard::Broke(SendEnd::Lost),
+                Some(Err(_)) => Heard::Broke(SendOutcome::Lost),
                 Some(Ok(frame)) => Heard::Bytes(frame.into_data().unwrap_or_default()),
             }
         };
         let too_long = async {
             Timer::after(patience).await;
-            Heard::Broke(SendEnd::Silent)
+            Heard::Broke(SendOutcome::TimedOut)
         };
         reading.or(too_long).await
     }
@@ -101,7 +101,7 @@
     fn patience(&self) -> Duration {
         let left = self.delivery.turn.time_left();
         match self.delivery.turn.route.target_gap {
-            Some(gap) if self.delivery.course.has_spare_run() => left.min(gap * SILENT_GAPS),
+            Some(gap) if self.delivery.course.allows_hedge() => left.min(gap * SILENT_GAPS),
             _ => left,
         }
     }
@@ -119,7 +119,7 @@
     }
 
     /// Goes on behind the last whole event at another upstream; `false` if that cannot be.
-    async fn go_on_elsewhere(&mut self, end: SendEnd) -> bool {
+    async fn go_on_elsewhere(&mut self, end: SendOutcome) -> bool {
         // Dropping the connection cancels what is left of the run there.
         let Some(source) = self.source.take() else { return false };
         let sent = source.sent.clone();
--- a/crates/bendhinge_gateway/src/log/mod.rs
+++ b/crates/bendhinge_gateway/src/log/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::SendEnd;
+use bendhinge_delivery::SendOutcome;
 use bendhinge_fleet::{Origin, Version};
 use bendhinge_ids::{DataCentreName, PoolName, RequestDigest, UpstreamName};
 use bendhinge_peer::CallError;
@@ -187,7 +187,7 @@
     }
 
     /// An upstream is spared for a while.
-    pub(crate) fn upstream_rests(&self, upstream: &UpstreamName, end: SendEnd) {
+    pub(crate) fn upstream_rests(&self, upstream: &UpstreamName, end: SendOutcome) {
         #[derive(Serialize)]
         struct Fields<'a> {
             upstream: &'a str,
--- a/crates/bendhinge_gateway/src/log/request.rs
+++ b/crates/bendhinge_gateway/src/log/request.rs
@@ -1,7 +1,7 @@
 //! The one line of a request that was let in: every send, and how it all ended.
 
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::{Course, SendEnd};
+use bendhinge_delivery::{RetryState, SendOutcome};
 use bendhinge_ids::{Instant, RequestDigest};
 use serde::Serialize;
 
@@ -83,13 +83,20 @@
     }
 
     /// The send of that number ended without an answer that is passed on.
-    pub(crate) fn send_ended(&mut self, number: usize, end: SendEnd) {
+    pub(crate) fn send_ended(&mut self, number: usize, end: SendOutcome) {
         if let Some(send) = self.sends.get_mut(number) {
             send.end = Some(end.as_str());
         }
     }
 
-    fn write(&mut self, log: &Log, outcome: &str, status: u16, code: Option<ResultCode>, course: &Course) {
+    fn write(
+        &mut self,
+        log: &Log,
+        outcome: &str,
+        status: u16,
+        code: Option<ResultCode>,
+        course: &RetryState,
+    ) {
         #[derive(Serialize)]
         struct Fields<'a> {
             request: &'a str,
@@ -119,12 +126,12 @@
     }
 
     /// Its answer was passed on, or it was given up.
-    pub(crate) fn ended(&mut self, log: &Log, status: u16, code: Option<ResultCode>, course: &Course) {
+    pub(crate) fn ended(&mut self, log: &Log, status: u16, code: Option<ResultCode>, course: &RetryState) {
         self.write(log, "answered", status, code, course);
     }
 
     /// Its caller left.
-    pub(crate) fn caller_left(&mut self, log: &Log, course: &Course) {
+    pub(crate) fn caller_left(&mut self, log: &Log, course: &RetryState) {
         self.write(log, "caller_left", 0, None, course);
     }
 }
--- a/crates/bendhinge_gateway/src/metrics.rs
+++ b/crates/bendhinge_gateway/src/metrics.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::SendEnd;
+use bendhinge_delivery::SendOutcome;
 use bendhinge_fleet::ListLoads;
 use bendhinge_peer::PeerMessage;
 use opentelemetry::KeyValue;
@@ -192,7 +192,7 @@
     }
 
     /// Counts a send without an answer that was passed on.
-    pub(crate) fn send_ended(&self, end: SendEnd) {
+    pub(crate) fn send_ended(&self, end: SendOutcome) {
         self.sends_ended.add(1, &[KeyValue::new("end", end.as_str())]);
     }
 
--- a/crates/bendhinge_http/src/client.rs
+++ b/crates/bendhinge_http/src/client.rs
@@ -1,4 +1,4 @@
-//! Small whole requests: the platform's pages, load reports, operators' addresses.
+//! Client functions for small requests whose responses are read into memory.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,81 +14,80 @@
 use crate::pool::{ConnectError, Connection, SendFailure};
 use crate::{Body, Pool, read_body};
 
-/// Why a small request got no whole answer.
+/// A request that received no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum FetchError {
-    /// No connection.
+    /// The connection could not be established.
     #[error(transparent)]
     Connect(#[from] ConnectError),
-    /// The connection closed before the request was written.
+    /// The connection closed before any of the request was written.
     #[error("the connection closed before the request was sent")]
     NotSent,
-    /// The connection broke after the request was sent.
-    #[error("the connection broke: {0}")]
-    Broken(hyper::Error),
-    /// The answer's body was too long or broke off.
+    /// The connection failed after part of the request may have been written.
+    #[error("the connection failed: {0}")]
+    ConnectionLost(hyper::Error),
+    /// The response body was too long or could not be read.
     #[error(transparent)]
     Body(#[from] ReadBodyError),
-    /// No whole answer within the time allowed.
-    #[error("no answer within {0:?}")]
+    /// A timeout expired.
+    #[error("no response within {0:?}")]
     Timeout(Duration),
-    /// The answer is not of the expected form.
-    #[error("unexpected answer: {0}")]
-    Form(#[from] serde_json::Error),
-    /// The answer has another status than 200.
+    /// The response is not the expected JSON.
+    #[error("invalid JSON in the response: {0}")]
+    InvalidJson(#[from] serde_json::Error),
+    /// The response status is not the expected one.
     #[error("the answer's status is {0}")]
     Status(StatusCode),
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Fetched {
-    /// Its status.
+    /// The response status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The response headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The response body.
     pub body: Bytes,
 }
 
-/// How long an answer is waited for.
+/// Timeouts of a fetch.
 #[derive(Clone, Copy, Debug)]
-pub struct FetchTime {
-    /// For its head, and for each piece after the one before: who is silent for longer is not waited for,
-    /// however long an answer may take.
-    pub silence: Duration,
-    /// For all of it.
-    pub whole: Duration,
+pub struct FetchTimeouts {
+    /// Limits the wait for the response head and for each body frame.
+    pub read: Duration,
+    /// Limits the whole exchange.
+    pub total: Duration,
 }
 
-impl From<Duration> for FetchTime {
-    fn from(whole: Duration) -> Self {
-        Self { silence: whole, whole }
+impl From<Duration> for FetchTimeouts {
+    fn from(total: Duration) -> Self {
+        Self { read: total, total }
     }
 }
 
-/// Sends `request` to `address` and gathers an answer of at most `limit` bytes within `time`.
+/// Sends `request` to `address` and reads a response body of at most `limit` bytes.
 pub async fn fetch(
     pool: &Pool,
     address: SocketAddr,
     request: Request<Body>,
     limit: usize,
-    time: impl Into<FetchTime>,
+    timeouts: impl Into<FetchTimeouts>,
 ) -> Result<Fetched, FetchError> {
-    let FetchTime { silence, whole } = time.into();
+    let FetchTimeouts { read, total } = timeouts.into();
     let exchange = async {
-        let (answer, connection) = within(silence, begin(pool, address, request)).await?;
+        let (answer, connection) = with_timeout(read, send_request(pool, address, request)).await?;
         let (head, body) = answer.into_parts();
-        let body = read_body(ReadTimeoutBody::new(body, silence), limit).await?;
+        let body = read_body(ReadTimeoutBody::new(body, read), limit).await?;
         pool.release(connection).await;
         Ok(Fetched { status: head.status, headers: head.headers, body })
     };
-    // Boxed: it holds a whole exchange, and so would everything that waits for it.
-    within(whole, Box::pin(exchange)).await
+    // Boxed to keep the futures of callers small.
+    with_timeout(total, Box::pin(exchange)).await
 }
 
-/// Sends `request`; gives the head of the answer, with the connection that its body comes on.
-async fn begin(
+/// Sends `request`. Returns the response head and the connection that carries its body.
+async fn send_request(
     pool: &Pool,
     address: SocketAddr,
     request: Request<Body>,
@@ -97,7 +96,7 @@
     let answer = match connection.send(request).await {
         Ok(answer) => answer,
         Err(SendFailure::NotSent(request)) => {
-            // An idle connection had gone; one fresh connection settles it.
+            // The pooled connection was closed; retry once on a new one.
             connection = pool.connect(address).await?;
             connection.send(*request).await.map_err(send_error)?
         }
@@ -106,25 +105,25 @@
     Ok((answer, connection))
 }
 
-async fn within<T>(
+async fn with_timeout<T>(
     time: Duration,
-    doing: impl Future<Output = Result<T, FetchError>>,
+    operation: impl Future<Output = Result<T, FetchError>>,
 ) -> Result<T, FetchError> {
-    let too_long = async {
+    let expired = async {
         Timer::after(time).await;
         Err(FetchError::Timeout(time))
     };
-    doing.or(too_long).await
+    operation.or(expired).await
 }
 
 fn send_error(failure: SendFailure) -> FetchError {
     match failure {
         SendFailure::NotSent(_) => FetchError::NotSent,
-        SendFailure::Unknown(error) => FetchError::Broken(error),
+        SendFailure::Unknown(error) => FetchError::ConnectionLost(error),
     }
 }
 
-/// Gets `path` from `address` as JSON.
+/// Fetches `path` from `address` and parses the body as JSON.
 pub async fn fetch_json<T: DeserializeOwned>(
     pool: &Pool,
     address: SocketAddr,
@@ -134,20 +133,20 @@
     Ok(serde_json::from_slice(&fetch_bytes(pool, address, path, time).await?)?)
 }
 
-/// Gets `path` from `address`, whatever its answer's status.
+/// Fetches `path` from `address`, with any response status.
 pub async fn fetch_path(
     pool: &Pool,
     address: SocketAddr,
     path: &str,
     time: Duration,
 ) -> Result<Fetched, FetchError> {
-    const LIMIT: usize = 16 << 20;
+    const MAX_BODY_BYTES: usize = 16 << 20;
     let request = Request::get(path).header("host", address.to_string()).body(crate::empty_body());
-    let request = request.expect("a path made here is a valid URI");
-    fetch(pool, address, request, LIMIT, time).await
+    let request = request.expect("the path is a valid URI");
+    fetch(pool, address, request, MAX_BODY_BYTES, time).await
 }
 
-/// Gets `path` from `address`, whose answer must be 200.
+/// Fetches `path` from `address`; the response status must be 200.
 pub async fn fetch_bytes(
     pool: &Pool,
     address: SocketAddr,
--- a/crates/bendhinge_http/src/lib.rs
+++ b/crates/bendhinge_http/src/lib.rs
@@ -13,7 +13,7 @@
 pub use body::{
     Body, BodyError, ReadBodyError, channel_body, empty_body, flush_before_error, full_body, read_body,
 };
-pub use client::{FetchError, FetchTime, Fetched, fetch, fetch_bytes, fetch_json, fetch_path};
+pub use client::{FetchError, FetchTimeouts, Fetched, fetch, fetch_bytes, fetch_json, fetch_path};
 pub use hop_by_hop::remove_hop_by_hop_headers;
 pub use pool::{ConnectError, Connection, Pool, SendFailure};
 pub use serve::{CutConnection, ServeLimits, Server, ServerStop, Unread};
--- a/crates/bendhinge_http/tests/fetch.rs
+++ b/crates/bendhinge_http/tests/fetch.rs
@@ -1,4 +1,4 @@
-//! How long an answer is waited for.
+//! Timeouts of `fetch`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,20 +7,20 @@
 use std::time::Duration;
 
 use bendhinge_http::{
-    FetchError, FetchTime, Fetched, Pool, ServeLimits, Server, Tasks, channel_body, empty_body, fetch,
+    FetchError, FetchTimeouts, Fetched, Pool, ServeLimits, Server, Tasks, channel_body, empty_body, fetch,
     run_until,
 };
 use bytes::Bytes;
 use hyper::{Request, Response};
 use smol::Timer;
 
-/// More than any test takes.
+/// Longer than any of these tests runs.
 const LONG: Duration = Duration::from_secs(600);
-const PIECES: usize = 8;
+const CHUNKS: usize = 8;
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// Fetches from a server that sends `pieces` with a pause after each, and then nothing more if it `stalls`.
-fn fetched(pieces: usize, stalls: bool, time: FetchTime) -> Result<Fetched, FetchError> {
+/// Fetches from a server that sends `chunk_count` chunks with a pause after each, then hangs if `stalls` is set.
+fn fetched(chunk_count: usize, stalls: bool, timeouts: FetchTimeouts) -> Result<Fetched, FetchError> {
     let tasks = Tasks::default();
     let serving = Arc::clone(&tasks);
     let fetching = async move {
@@ -31,7 +31,7 @@
         let answering = server.run(move |_| {
             let (sender, body) = channel_body(1);
             let sending = async move {
-                for _ in 0..pieces {
+                for _ in 0..chunk_count {
                     sender.send(io::Result::Ok(Bytes::from_static(b"piece"))).await.unwrap();
                     Timer::after(PAUSE).await;
                 }
@@ -45,28 +45,28 @@
         serving.spawn(answering).detach();
         let pool = Pool::new(serving, LONG, LONG);
         let request = Request::get("/").header("host", address.to_string()).body(empty_body()).unwrap();
-        fetch(&pool, address, request, 1 << 20, time).await
+        fetch(&pool, address, request, 1 << 20, timeouts).await
     };
     run_until(&tasks, NonZeroUsize::MIN, fetching)
 }
 
-/// The store may fall silent in the middle of a long answer.
+/// The read timeout applies even if the total timeout is long.
 #[test]
-fn who_falls_silent_is_not_waited_for_as_long_as_a_whole_answer_may_take() {
-    let time = FetchTime { silence: PAUSE, whole: LONG };
-    assert!(matches!(fetched(1, true, time), Err(FetchError::Body(_))));
-    assert!(matches!(fetched(0, true, time), Err(FetchError::Body(_) | FetchError::Timeout(_))));
+fn stalled_response_fails_at_the_read_timeout() {
+    let timeouts = FetchTimeouts { read: PAUSE, total: LONG };
+    assert!(matches!(fetched(1, true, timeouts), Err(FetchError::Body(_))));
+    assert!(matches!(fetched(0, true, timeouts), Err(FetchError::Body(_) | FetchError::Timeout(_))));
 }
 
 #[test]
-fn an_answer_that_goes_on_may_take_longer_than_any_silence_in_it() {
-    let time = FetchTime { silence: PAUSE * 6, whole: LONG };
-    let whole = fetched(PIECES, false, time).unwrap();
-    assert_eq!(whole.body.len(), PIECES * b"piece".len());
+fn steady_response_may_exceed_the_read_timeout() {
+    let timeouts = FetchTimeouts { read: PAUSE * 6, total: LONG };
+    let response = fetched(CHUNKS, false, timeouts).unwrap();
+    assert_eq!(response.body.len(), CHUNKS * b"piece".len());
 }
 
 #[test]
-fn an_answer_is_not_waited_for_beyond_the_whole_time() {
-    let time = FetchTime { silence: LONG, whole: PAUSE };
-    assert!(matches!(fetched(PIECES, true, time), Err(FetchError::Timeout(_))));
+fn response_fails_at_the_total_timeout() {
+    let timeouts = FetchTimeouts { read: LONG, total: PAUSE };
+    assert!(matches!(fetched(CHUNKS, true, timeouts), Err(FetchError::Timeout(_))));
 }
