--- a/crates/bendhinge_codes/src/table.rs
+++ b/crates/bendhinge_codes/src/table.rs
@@ -1,4 +1,4 @@
-//! The Markdown table of result codes.
+//! Markdown rendering of the result code table.
 
 use std::fmt::Write as _;
 
--- a/crates/bendhinge_codes/tests/codes.rs
+++ b/crates/bendhinge_codes/tests/codes.rs
@@ -1,4 +1,5 @@
-//! The codes are unique, ordered, honest about retries, and match the page in `docs/`.
+//! Guards against duplicate or unordered numbers, unsafe retry invitations, and an outdated
+//! `docs/RESULT-CODES.md`.
 
 use bendhinge_codes::{Ran, ResultCode, markdown_table};
 
@@ -10,7 +11,7 @@
 }
 
 #[test]
-fn only_a_request_that_did_not_run_or_is_repeatable_invites_a_retry() {
+fn retry_is_invited_only_if_the_request_did_not_run_or_is_repeatable() {
     for code in ResultCode::ALL {
         if code.invites_retry() && *code != ResultCode::RepeatableLost {
             assert_eq!(code.ran(), Some(Ran::No), "{code}");
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn page_matches_the_code() {
+fn generated_page_is_current() {
     let page = include_str!("../../../docs/RESULT-CODES.md");
     assert_eq!(page, markdown_table(), "run: bendhinge codes > docs/RESULT-CODES.md");
 }
--- a/crates/bendhinge_delivery/src/once.rs
+++ b/crates/bendhinge_delivery/src/once.rs
@@ -1,128 +1,139 @@
-//! The keys of requests that may run at most once, at the router that keeps them.
+//! Ledger of idempotency keys that a router owns, for at-most-once execution of requests.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use bendhinge_ids::{Digest, Instant, RequestId, RouterLife};
 
-/// A customer's idempotency key, hashed with the customer's name.
+/// The hash of an idempotency key and the name of the customer that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OnceKey(pub [u8; 16]);
 
 impl OnceKey {
-    /// The key of `idempotency_key` as `customer` sent it.
+    /// Hashes `idempotency_key` together with the name of `customer`.
     #[must_use]
     pub fn of(customer: &str, idempotency_key: &[u8]) -> Self {
-        // Names have no zero byte, so the two parts cannot run into one another.
+        // Customer names contain no zero byte, so the separator makes the encoding unambiguous.
         let joined = [customer.as_bytes(), &[0], idempotency_key].concat();
         Self(Digest::of(&joined).0)
     }
 
-    /// The key as text, for finding its owner.
+    /// The hexadecimal form, from which the owning router is derived.
     #[must_use]
     pub fn as_text(self) -> String {
         Digest(self.0).to_string()
     }
 }
 
-/// Who claims a key: one request in one life of a router. A late word about an earlier claim
-/// of the same router therefore says nothing about a later one.
+/// The holder of a claim: one request of one router incarnation.
+///
+/// It identifies each claim uniquely, so a delayed outcome of an earlier claim of the same router
+/// cannot affect a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Claimant {
-    /// The router.
+    /// The router incarnation.
     pub life: RouterLife,
     /// The request.
     pub request: RequestId,
 }
 
-/// The answer to a claim.
+/// The result of claiming a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// The claimant may run the request, once.
+    /// The claimant may run the request once.
     Granted,
-    /// Another attempt holds it: it may be running, have run, or have been lost.
+    /// Another attempt holds the key. Its request may be running, have run or have been lost.
     AlreadyTaken,
-    /// It has run.
+    /// The request has run.
     AlreadyRan,
-    /// This router cannot tell whether another granted it before.
-    CannotVouch,
-    /// No more keys can be kept.
+    /// This router cannot verify that no other router granted the key before.
+    Unverifiable,
+    /// The ledger holds the maximum number of keys.
     Full,
 }
 
-/// What became of a granted request.
+/// The outcome of a request whose claim was granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnceOutcome {
-    /// An upstream answered it.
+    /// An upstream responded to the request.
     Ran,
-    /// No byte of it reached an upstream: it may be claimed again.
+    /// No byte of the request reached an upstream. The key may be claimed again.
     NotRun,
-    /// It is not known.
+    /// The request may have run.
     Unknown,
 }
 
-/// What a ledger may hold.
+/// Limits of an [`OnceLedger`].
 #[derive(Clone, Copy, Debug)]
 pub struct OnceLimits {
-    /// How long a key is kept after it was claimed; callers must not retry for longer.
+    /// How long a key is retained after it was claimed. Callers must not retry after that.
     pub window: Duration,
-    /// How many keys are kept; further claims are refused, for dropping one would forget it.
-    pub keys: usize,
+    /// The maximum number of keys, including released ones until their window ends. Further claims are
+    /// refused, because evicting a key would allow its request to run again.
+    pub max_keys: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Record {
+struct ClaimRecord {
     claimant: Claimant,
     claimed_at: Instant,
     ran: bool,
 }
 
-/// The keys that one router keeps.
+/// The claimed keys that one router owns.
 #[derive(Debug)]
 pub struct OnceLedger {
     limits: OnceLimits,
-    records: HashMap<OnceKey, Record>,
-    by_age: VecDeque<(Instant, OnceKey)>,
+    records: HashMap<OnceKey, ClaimRecord>,
+    expiry_queue: VecDeque<(Instant, OnceKey)>,
 }
 
 impl OnceLedger {
-    /// An empty ledger.
+    /// Creates an empty ledger.
     #[must_use]
     pub fn new(limits: OnceLimits) -> Self {
-        Self { limits, records: HashMap::new(), by_age: VecDeque::new() }
+        Self { limits, records: HashMap::new(), expiry_queue: VecDeque::new() }
     }
 
-    /// How many keys are kept.
+    /// The number of claimed keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is kept.
+    /// Whether no key is claimed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Claims `key` for `claimant`. `vouched` says that no other router can have granted it:
-    /// see [`crate::OwnershipHistory`], or the caller declared its first attempt.
-    pub fn claim(&mut self, key: OnceKey, claimant: &Claimant, vouched: bool, now: Instant) -> Claim {
-        self.forget_old(now);
+    /// Claims `key` for `claimant`.
+    ///
+    /// `not_granted_elsewhere` is true if no other router can have granted the key, either by its
+    /// [`crate::OwnershipHistory`] or because the caller declared this to be the first attempt.
+    pub fn claim(
+        &mut self,
+        key: OnceKey,
+        claimant: &Claimant,
+        not_granted_elsewhere: bool,
+        now: Instant,
+    ) -> Claim {
+        self.remove_expired(now);
         if let Some(record) = self.records.get(&key) {
             return if record.ran { Claim::AlreadyRan } else { Claim::AlreadyTaken };
         }
-        if !vouched {
-            return Claim::CannotVouch;
+        if !not_granted_elsewhere {
+            return Claim::Unverifiable;
         }
-        if self.by_age.len() >= self.limits.keys {
+        if self.expiry_queue.len() >= self.limits.max_keys {
             return Claim::Full;
         }
-        self.records.insert(key, Record { claimant: claimant.clone(), claimed_at: now, ran: false });
-        self.by_age.push_back((now, key));
+        self.records.insert(key, ClaimRecord { claimant: claimant.clone(), claimed_at: now, ran: false });
+        self.expiry_queue.push_back((now, key));
         Claim::Granted
     }
 
-    /// Notes what became of a request. Only the claimant that holds it can settle it.
+    /// Records the outcome of a request. Ignored unless `claimant` holds the claim on `key`.
     pub fn settle(&mut self, key: OnceKey, claimant: &Claimant, outcome: OnceOutcome) {
         let Some(record) = self.records.get_mut(&key).filter(|record| record.claimant == *claimant) else {
             return;
@@ -136,14 +147,14 @@
         }
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        while let Some((claimed, key)) = self.by_age.front().copied() {
-            if now.since(claimed) <= self.limits.window {
+    fn remove_expired(&mut self, now: Instant) {
+        while let Some((claimed_at, key)) = self.expiry_queue.front().copied() {
+            if now.since(claimed_at) <= self.limits.window {
                 break;
             }
-            self.by_age.pop_front();
-            // A key that was given up and claimed again stands twice; its later entry counts.
-            if self.records.get(&key).is_some_and(|record| record.claimed_at == claimed) {
+            self.expiry_queue.pop_front();
+            // A key that was released and claimed again is queued twice; only its last claim counts.
+            if self.records.get(&key).is_some_and(|record| record.claimed_at == claimed_at) {
                 self.records.remove(&key);
             }
         }
--- a/crates/bendhinge_delivery/tests/once.rs
+++ b/crates/bendhinge_delivery/tests/once.rs
@@ -1,4 +1,4 @@
-//! Keys of requests that run at most once, against a simple oracle.
+//! At-most-once claims, checked against a model, and proof of key ownership.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,14 +14,14 @@
     Claimant { life: RouterLife { name, incarnation: Incarnation(1) }, request: RequestId(request) }
 }
 
-/// Whatever is claimed, settled, settled late or by others: within the window a key is granted
-/// again only after its holder said that it did not run.
+/// Guards against granting a key twice within the window, unless its holder reported that the request
+/// did not run. Outcomes may arrive late or from claimants that do not hold the key.
 #[test]
-fn a_key_is_granted_once() {
+fn key_is_granted_again_only_if_the_request_did_not_run() {
     arbtest(|u| {
-        let mut ledger = OnceLedger::new(OnceLimits { window: WINDOW, keys: 1_000 });
-        let mut held: HashMap<u8, (Claimant, bool)> = HashMap::new();
-        let mut earlier: Vec<(u8, Claimant)> = Vec::new();
+        let mut ledger = OnceLedger::new(OnceLimits { window: WINDOW, max_keys: 1_000 });
+        let mut holders: HashMap<u8, (Claimant, bool)> = HashMap::new();
+        let mut released: Vec<(u8, Claimant)> = Vec::new();
         let now = Instant::from_millis(1);
         for request in 0..u.int_in_range(0..=80)? {
             let key_number = u.int_in_range(0..=3_u8)?;
@@ -29,37 +29,37 @@
             match u.int_in_range(0..=4)? {
                 0..=2 => {
                     let claimant = claimant(u.int_in_range(0..=2)?, request);
-                    let vouched = u.arbitrary()?;
-                    let claim = ledger.claim(key, &claimant, vouched, now);
-                    let expected = match held.get(&key_number) {
+                    let not_granted_elsewhere = u.arbitrary()?;
+                    let claim = ledger.claim(key, &claimant, not_granted_elsewhere, now);
+                    let expected = match holders.get(&key_number) {
                         Some((_, true)) => Claim::AlreadyRan,
                         Some((_, false)) => Claim::AlreadyTaken,
-                        None if vouched => Claim::Granted,
-                        None => Claim::CannotVouch,
+                        None if not_granted_elsewhere => Claim::Granted,
+                        None => Claim::Unverifiable,
                     };
                     assert_eq!(claim, expected);
                     if claim == Claim::Granted {
-                        held.insert(key_number, (claimant, false));
+                        holders.insert(key_number, (claimant, false));
                     }
                 }
                 3 => {
-                    if let Some((holder, ran)) = held.get(&key_number).cloned() {
+                    if let Some((holder, ran)) = holders.get(&key_number).cloned() {
                         let outcome =
                             *u.choose(&[OnceOutcome::Ran, OnceOutcome::NotRun, OnceOutcome::Unknown])?;
                         ledger.settle(key, &holder, outcome);
                         match outcome {
-                            OnceOutcome::Ran => drop(held.insert(key_number, (holder, true))),
+                            OnceOutcome::Ran => drop(holders.insert(key_number, (holder, true))),
                             OnceOutcome::NotRun if !ran => {
-                                held.remove(&key_number);
-                                earlier.push((key_number, holder));
+                                holders.remove(&key_number);
+                                released.push((key_number, holder));
                             }
                             _ => {}
                         }
                     }
                 }
                 _ => {
-                    // A word of an earlier claimant that comes late, or of somebody else.
-                    for (number, claimant) in &earlier {
+                    // Late outcomes of released claims, and one from a claimant that never held the key.
+                    for (number, claimant) in &released {
                         ledger.settle(OnceKey::of("customer", &[*number]), claimant, OnceOutcome::NotRun);
                     }
                     ledger.settle(key, &claimant(9, 9_999), OnceOutcome::NotRun);
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn a_full_ledger_refuses_rather_than_forget() {
-    let mut ledger = OnceLedger::new(OnceLimits { window: WINDOW, keys: 2 });
+fn full_ledger_refuses_claims_until_keys_expire() {
+    let mut ledger = OnceLedger::new(OnceLimits { window: WINDOW, max_keys: 2 });
     let now = Instant::from_millis(1);
     for (number, expected) in
         [(1, Claim::Granted), (2, Claim::Granted), (3, Claim::Full), (1, Claim::AlreadyTaken)]
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn customers_do_not_share_keys() {
+fn keys_of_different_customers_differ() {
     assert_ne!(OnceKey::of("a", b"key"), OnceKey::of("b", b"key"));
     assert_ne!(OnceKey::of("ab", b"c"), OnceKey::of("a", b"bc"));
 }
@@ -98,31 +98,37 @@
     names.iter().map(|name| name.parse().unwrap()).collect()
 }
 
-/// A table of histories: who may vouch, and when.
+/// Guards against treating ownership as proven without a full window of membership lists.
 #[test]
-fn vouching() {
-    let first = |boxes: &[BoxName]| boxes.first().is_some_and(|name| name.as_str() == "a");
+fn ownership_is_proven_only_over_a_full_window() {
+    let owned_by_a = |boxes: &[BoxName]| boxes.first().is_some_and(|name| name.as_str() == "a");
     let at = |seconds: u64| Instant::from_millis(1_000 * seconds);
 
-    let mut young = OwnershipHistory::new(WINDOW);
-    assert!(!young.owned_throughout(at(10_000), first), "no list is known");
-    young.note(boxes(&["a", "b"]), at(0));
-    assert!(!young.owned_throughout(at(599), first), "a young router cannot vouch");
-    assert!(young.owned_throughout(at(600), first), "after a whole window it can");
+    let mut unchanged = OwnershipHistory::new(WINDOW);
+    assert!(!unchanged.owned_throughout(at(10_000), owned_by_a), "no membership list is known");
+    unchanged.note(boxes(&["a", "b"]), at(0));
+    assert!(!unchanged.owned_throughout(at(599), owned_by_a), "the history is shorter than the window");
+    assert!(unchanged.owned_throughout(at(600), owned_by_a), "the history covers the window");
 
-    let mut changed = OwnershipHistory::new(WINDOW);
-    changed.note(boxes(&["a", "b"]), at(0));
-    changed.note(boxes(&["b"]), at(1_000));
-    assert!(!changed.owned_throughout(at(1_001), first), "no more its own");
-    changed.note(boxes(&["a", "b"]), at(1_100));
-    assert!(!changed.owned_throughout(at(1_699), first), "another owned it in the window");
-    assert!(changed.owned_throughout(at(1_700), first), "the window has passed");
+    let mut interrupted = OwnershipHistory::new(WINDOW);
+    interrupted.note(boxes(&["a", "b"]), at(0));
+    interrupted.note(boxes(&["b"]), at(1_000));
+    assert!(!interrupted.owned_throughout(at(1_001), owned_by_a), "the router no longer owns the key");
+    interrupted.note(boxes(&["a", "b"]), at(1_100));
+    assert!(
+        !interrupted.owned_throughout(at(1_699), owned_by_a),
+        "another router owned the key within the window"
+    );
+    assert!(
+        interrupted.owned_throughout(at(1_700), owned_by_a),
+        "the window has passed since the other router owned the key"
+    );
 
-    let mut others = OwnershipHistory::new(WINDOW);
-    others.note(boxes(&["a", "b"]), at(0));
-    others.note(boxes(&["a", "b", "c"]), at(1_000));
+    let mut unrelated_change = OwnershipHistory::new(WINDOW);
+    unrelated_change.note(boxes(&["a", "b"]), at(0));
+    unrelated_change.note(boxes(&["a", "b", "c"]), at(1_000));
     assert!(
-        others.owned_throughout(at(1_001), first),
-        "a change that leaves the key where it was does not matter"
+        unrelated_change.owned_throughout(at(1_001), owned_by_a),
+        "the membership change did not move the key"
     );
 }
--- a/crates/bendhinge_gateway/src/run.rs
+++ b/crates/bendhinge_gateway/src/run.rs
@@ -9,7 +9,7 @@
 use async_signal::{Signal, Signals};
 use bendhinge_codes::ExitStatus;
 use bendhinge_delivery::IdentityKey;
-use bendhinge_http::{Pool, ServeLimits, Server, ServerStop, Tasks};
+use bendhinge_http::{Pool, ServeLimits, Server, StopHandle, Tasks};
 use bendhinge_peer::Traffic;
 use futures_lite::StreamExt;
 use smol::net::TcpListener;
@@ -181,13 +181,13 @@
     settings: &Settings,
     delivering: &Arc<Delivering>,
     lifecycle: &Arc<Lifecycle>,
-) -> Result<ServerStop, StartError> {
+) -> Result<StopHandle, StartError> {
     /// The largest head: more than any configuration allows, since callers keep within that.
     const HEAD_BYTES: usize = 64 << 10;
     let limits = ServeLimits {
-        head_bytes: HEAD_BYTES,
-        head_time: CALLER_IDLE,
-        connections: settings.connections,
+        max_head_bytes: HEAD_BYTES,
+        head_timeout: CALLER_IDLE,
+        max_connections: settings.connections,
         ..ServeLimits::default()
     };
     let noting = Arc::clone(delivering);
@@ -195,8 +195,8 @@
         noting.metrics.answer_unread();
         noting.log.answer_unread(caller);
     });
-    let server = bind("callers", settings.callers, limits, delivering).await?.noting_unread(unread);
-    let stop = server.stopper();
+    let server = bind("callers", settings.callers, limits, delivering).await?.on_write_timeout(unread);
+    let stop = server.stop_handle();
     let intake = Arc::new(Intake { delivering: Arc::clone(delivering), lifecycle: Arc::clone(lifecycle) });
     let serving = server.run(move |request| intake::handle(Arc::clone(&intake), request));
     delivering.tasks.spawn(serving).detach();
@@ -208,9 +208,9 @@
     delivering: &Arc<Delivering>,
     lifecycle: &Arc<Lifecycle>,
     traffic: &Arc<Traffic>,
-) -> Result<ServerStop, StartError> {
+) -> Result<StopHandle, StartError> {
     let server = bind("ready", settings.ready, ServeLimits::default(), delivering).await?;
-    let stop = server.stopper();
+    let stop = server.stop_handle();
     let readiness = Arc::new(Readiness {
         delivering: Arc::clone(delivering),
         lifecycle: Arc::clone(lifecycle),
--- a/crates/bendhinge_http/src/lib.rs
+++ b/crates/bendhinge_http/src/lib.rs
@@ -16,6 +16,6 @@
 pub use client::{FetchError, FetchTimeouts, Fetched, fetch, fetch_bytes, fetch_json, fetch_path};
 pub use hop_by_hop::remove_hop_by_hop_headers;
 pub use pool::{ConnectError, Connection, Pool, SendFailure};
-pub use serve::{CutConnection, ServeLimits, Server, ServerStop, Unread};
+pub use serve::{CloseConnection, ServeLimits, Server, StopHandle, WriteTimeoutCallback};
 pub use signal::wait_for_termination;
 pub use workers::{Tasks, run_until};
--- a/crates/bendhinge_http/src/serve.rs
+++ b/crates/bendhinge_http/src/serve.rs
@@ -1,4 +1,4 @@
-//! The server loop.
+//! HTTP/1.1 server with connection limits, timeouts and graceful shutdown.
 
 use std::future::Future;
 use std::io;
@@ -20,115 +20,123 @@
 use crate::write_timeout::WriteTimeoutStream;
 use crate::{Body, Tasks};
 
-/// What one listening address allows its callers.
+/// Limits on the connections of a [`Server`].
 #[derive(Clone, Copy, Debug)]
 pub struct ServeLimits {
-    /// The largest request head, in bytes; hyper allows no less than 8 KiB.
-    pub head_bytes: usize,
-    /// How long a request head may take to arrive, which also bounds idle connections.
-    pub head_time: Duration,
-    /// How long a caller may leave an answer unread before its connection is cut.
-    pub unread_for: Duration,
-    /// How many connections may be open; further ones are closed at once.
-    pub connections: usize,
+    /// The maximum size of a request head, in bytes. hyper requires at least 8 KiB.
+    pub max_head_bytes: usize,
+    /// The timeout for receiving a request head, which also limits idle connections.
+    pub head_timeout: Duration,
+    /// How long a write may block before the connection is closed.
+    pub write_timeout: Duration,
+    /// The maximum number of open connections. Further ones are closed immediately.
+    pub max_connections: usize,
 }
 
 impl Default for ServeLimits {
     fn default() -> Self {
         Self {
-            head_bytes: 64 << 10,
-            head_time: Duration::from_mins(1),
-            unread_for: Duration::from_secs(10),
-            connections: 10_000,
+            max_head_bytes: 64 << 10,
+            head_timeout: Duration::from_mins(1),
+            write_timeout: Duration::from_secs(10),
+            max_connections: 10_000,
         }
     }
 }
 
-/// Ends a [`Server`]: no new connections, idle ones closed, those in use after their answer.
+/// A handle for the graceful shutdown of a [`Server`].
 #[derive(Clone, Debug)]
-pub struct ServerStop(Sender<()>);
+pub struct StopHandle(Sender<()>);
 
-impl ServerStop {
-    /// Starts the orderly stop.
+impl StopHandle {
+    /// Stops accepting connections, closes idle ones, and closes the others after their response.
     pub fn stop(&self) {
         self.0.close();
     }
 }
 
-/// What is done when a caller is cut since it left its answer unread.
-pub type Unread = Arc<dyn Fn(SocketAddr) + Send + Sync>;
+/// A callback for connections closed by the write timeout. It receives the caller's address.
+pub type WriteTimeoutCallback = Arc<dyn Fn(SocketAddr) + Send + Sync>;
 
-/// A listening address with its limits.
+/// An HTTP/1.1 server bound to an address.
 pub struct Server {
     listener: TcpListener,
     limits: ServeLimits,
     tasks: Tasks,
-    stop: Sender<()>,
-    stopped: Receiver<()>,
-    open: Arc<AtomicUsize>,
-    unread: Unread,
+    stop_sender: Sender<()>,
+    stop_receiver: Receiver<()>,
+    open_connections: Arc<AtomicUsize>,
+    on_write_timeout: WriteTimeoutCallback,
 }
 
 impl Server {
-    /// Listens on `address`; port 0 takes a free one.
+    /// Binds to `address`. Port 0 selects a free port.
     pub async fn bind(address: SocketAddr, limits: ServeLimits, tasks: Tasks) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
-        let (stop, stopped) = bounded(1);
-        Ok(Self { listener, limits, tasks, stop, stopped, open: Arc::default(), unread: Arc::new(|_| ()) })
+        let (stop_sender, stop_receiver) = bounded(1);
+        Ok(Self {
+            listener,
+            limits,
+            tasks,
+            stop_sender,
+            stop_receiver,
+            open_connections: Arc::default(),
+            on_write_timeout: Arc::new(|_| ()),
+        })
     }
 
-    /// The same server, which calls `unread` for each caller that it cuts since it left its answer unread.
+    /// Sets the callback for connections closed by the write timeout.
     #[must_use]
-    pub fn noting_unread(self, unread: Unread) -> Self {
-        Self { unread, ..self }
+    pub fn on_write_timeout(self, on_write_timeout: WriteTimeoutCallback) -> Self {
+        Self { on_write_timeout, ..self }
     }
 
-    /// The address with the port that was taken.
+    /// The bound address, with the actual port.
     pub fn local_addr(&self) -> std::io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The handle that stops this server.
+    /// Returns a handle that stops this server.
     #[must_use]
-    pub fn stopper(&self) -> ServerStop {
-        ServerStop(self.stop.clone())
+    pub fn stop_handle(&self) -> StopHandle {
+        StopHandle(self.stop_sender.clone())
     }
 
-    /// Serves until stopped, then waits for the connections in use to finish.
+    /// Accepts connections until stopped, then waits for the open ones to close.
     pub async fn run<F, R>(self, handler: F)
     where
         F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
         R: Future<Output = Response<Body>> + Send + 'static,
     {
-        const POLL: Duration = Duration::from_millis(10);
+        const POLL_INTERVAL: Duration = Duration::from_millis(10);
         while let Some((stream, caller)) = self.next_connection().await {
-            if self.open.load(Ordering::Relaxed) >= self.limits.connections {
+            if self.open_connections.load(Ordering::Relaxed) >= self.limits.max_connections {
                 let _ = stream.shutdown(Shutdown::Both);
                 continue;
             }
             self.spawn_connection(stream, caller, handler.clone());
         }
         drop(self.listener);
-        while self.open.load(Ordering::Acquire) > 0 {
-            Timer::after(POLL).await;
+        while self.open_connections.load(Ordering::Acquire) > 0 {
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
     async fn next_connection(&self) -> Option<(TcpStream, SocketAddr)> {
-        const PAUSE_AFTER_ERROR: Duration = Duration::from_millis(50);
+        const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
         let accept = async {
             loop {
                 match self.listener.accept().await {
-                    Ok(accepted) => return Some(accepted),
-                    Err(_) => Timer::after(PAUSE_AFTER_ERROR).await,
+                    Ok(connection) => return Some(connection),
+                    Err(_) => Timer::after(ACCEPT_RETRY_DELAY).await,
                 };
             }
         };
-        let stop = async {
-            let _ = self.stopped.recv().await;
+        let stop_requested = async {
+            let _ = self.stop_receiver.recv().await;
             None
         };
-        stop.or(accept).await
+        stop_requested.or(accept).await
     }
 
     fn spawn_connection<F, R>(&self, stream: TcpStream, caller: SocketAddr, handler: F)
@@ -137,77 +145,78 @@
         R: Future<Output = Response<Body>> + Send + 'static,
     {
         let limits = self.limits;
-        let stopped = self.stopped.clone();
-        let open = OpenConnection::new(&self.open);
-        let unread = Arc::clone(&self.unread);
+        let stop_receiver = self.stop_receiver.clone();
+        let guard = ConnectionGuard::new(&self.open_connections);
+        let on_write_timeout = Arc::clone(&self.on_write_timeout);
         let connection = async move {
-            let _open = open;
+            let _guard = guard;
             let _ = stream.set_nodelay(true);
             let service = service_fn(move |request| {
-                // Boxed, because the library keeps room for it as long as the connection is open;
-                // while an answer streams, this is all that is left of how it was made.
-                let answer = Box::pin(handler(request));
-                async move { unless_cut(answer.await) }
+                // Boxed, because hyper reserves space for this future for the lifetime of the
+                // connection, including while the response body streams.
+                let response = Box::pin(handler(request));
+                async move { response_or_close(response.await) }
             });
-            let serving = http1::Builder::new()
+            let http_connection = http1::Builder::new()
                 .timer(SmolTimer::new())
-                .max_buf_size(limits.head_bytes)
+                .max_buf_size(limits.max_head_bytes)
                 .writev(true)
-                .header_read_timeout(limits.head_time)
+                .header_read_timeout(limits.head_timeout)
                 .serve_connection(
-                    FuturesIo::new(WriteTimeoutStream::new(stream, limits.unread_for)),
+                    FuturesIo::new(WriteTimeoutStream::new(stream, limits.write_timeout)),
                     service,
                 );
-            let mut serving = std::pin::pin!(serving);
-            let ended = async {
-                // A broken connection is the caller's to notice; its request was dropped with it.
-                if serving.as_mut().await.is_err_and(|error| is_unread(&error)) {
-                    unread(caller);
+            let mut http_connection = std::pin::pin!(http_connection);
+            let completed = async {
+                // Other connection errors need no handling: the request was dropped with the connection.
+                if http_connection.as_mut().await.is_err_and(|error| is_write_timeout(&error)) {
+                    on_write_timeout(caller);
                 }
                 true
             };
-            let stop = async {
-                let _ = stopped.recv().await;
+            let stop_requested = async {
+                let _ = stop_receiver.recv().await;
                 false
             };
-            if !ended.or(stop).await {
-                serving.as_mut().graceful_shutdown();
-                let _ = serving.await;
+            if !completed.or(stop_requested).await {
+                http_connection.as_mut().graceful_shutdown();
+                let _ = http_connection.await;
             }
         };
         self.tasks.spawn(connection).detach();
     }
 }
 
-/// Whether a connection ended since its caller took nothing of what was written.
-fn is_unread(error: &hyper::Error) -> bool {
+/// Whether a connection failed because of the write timeout.
+fn is_write_timeout(error: &hyper::Error) -> bool {
     let source = std::error::Error::source(error);
     let source = source.and_then(|source| source.downcast_ref::<io::Error>());
     source.is_some_and(|source| source.kind() == io::ErrorKind::TimedOut)
 }
 
-/// Put into an answer's extensions, cuts the connection in place of sending the answer.
+/// A response extension that closes the connection instead of sending the response.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the connection is cut in place of an answer")]
-pub struct CutConnection;
+#[error("connection closed instead of sending a response")]
+pub struct CloseConnection;
 
-fn unless_cut(answer: Response<Body>) -> Result<Response<Body>, CutConnection> {
-    match answer.extensions().get::<CutConnection>() {
-        None => Ok(answer),
-        Some(cut) => Err(*cut),
+fn response_or_close(response: Response<Body>) -> Result<Response<Body>, CloseConnection> {
+    match response.extensions().get::<CloseConnection>() {
+        None => Ok(response),
+        Some(close) => Err(*close),
     }
 }
 
-struct OpenConnection(Arc<AtomicUsize>);
+/// Counts a connection as open until dropped.
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl OpenConnection {
-    fn new(open: &Arc<AtomicUsize>) -> Self {
-        open.fetch_add(1, Ordering::Relaxed);
-        Self(Arc::clone(open))
+impl ConnectionGuard {
+    fn new(open_connections: &Arc<AtomicUsize>) -> Self {
+        open_connections.fetch_add(1, Ordering::Relaxed);
+        Self(Arc::clone(open_connections))
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Release);
     }
--- a/crates/bendhinge_peer/src/convert.rs
+++ b/crates/bendhinge_peer/src/convert.rs
@@ -167,7 +167,7 @@
         OnceAnswer::Claim(Claim::Granted) => peer_capnp::Claim::Granted,
         OnceAnswer::Claim(Claim::AlreadyTaken) => peer_capnp::Claim::AlreadyTaken,
         OnceAnswer::Claim(Claim::AlreadyRan) => peer_capnp::Claim::AlreadyRan,
-        OnceAnswer::Claim(Claim::CannotVouch) => peer_capnp::Claim::CannotVouch,
+        OnceAnswer::Claim(Claim::Unverifiable) => peer_capnp::Claim::CannotVouch,
         OnceAnswer::Claim(Claim::Full) => peer_capnp::Claim::Full,
         OnceAnswer::NotOwner => peer_capnp::Claim::NotOwner,
     }
@@ -178,7 +178,7 @@
         peer_capnp::Claim::Granted => OnceAnswer::Claim(Claim::Granted),
         peer_capnp::Claim::AlreadyTaken => OnceAnswer::Claim(Claim::AlreadyTaken),
         peer_capnp::Claim::AlreadyRan => OnceAnswer::Claim(Claim::AlreadyRan),
-        peer_capnp::Claim::CannotVouch => OnceAnswer::Claim(Claim::CannotVouch),
+        peer_capnp::Claim::CannotVouch => OnceAnswer::Claim(Claim::Unverifiable),
         peer_capnp::Claim::Full => OnceAnswer::Claim(Claim::Full),
         peer_capnp::Claim::NotOwner => OnceAnswer::NotOwner,
     }
--- a/crates/bendhinge_peer/src/duties.rs
+++ b/crates/bendhinge_peer/src/duties.rs
@@ -61,7 +61,7 @@
             Self::Claim(Claim::Granted) => "granted",
             Self::Claim(Claim::AlreadyTaken) => "already_taken",
             Self::Claim(Claim::AlreadyRan) => "already_ran",
-            Self::Claim(Claim::CannotVouch) => "cannot_vouch",
+            Self::Claim(Claim::Unverifiable) => "cannot_vouch",
             Self::Claim(Claim::Full) => "full",
             Self::NotOwner => "not_owner",
         }
--- a/crates/bendhinge_router/src/delivery/once.rs
+++ b/crates/bendhinge_router/src/delivery/once.rs
@@ -97,7 +97,7 @@
         OnceAnswer::Claim(Claim::AlreadyTaken) => Some(ResultCode::OnceAlreadyTaken),
         OnceAnswer::Claim(Claim::AlreadyRan) => Some(ResultCode::OnceAlreadyRan),
         OnceAnswer::Claim(Claim::Full) => Some(ResultCode::OnceFull),
-        OnceAnswer::Claim(Claim::CannotVouch) | OnceAnswer::NotOwner => Some(ResultCode::OnceCannotVouch),
+        OnceAnswer::Claim(Claim::Unverifiable) | OnceAnswer::NotOwner => Some(ResultCode::OnceCannotVouch),
     }
 }
 
--- a/crates/bendhinge_router/src/node.rs
+++ b/crates/bendhinge_router/src/node.rs
@@ -70,7 +70,7 @@
         let process = ProcessId { name: life.name.to_string(), incarnation: life.incarnation };
         let limits = FreshnessLimits { gap: settings.control.gap, patience: settings.control.patience };
         let ledger = LedgerLimits { lease: settings.control.lease, displaced_chats: DISPLACED_CHATS };
-        let once = OnceLimits { window: settings.once.window, keys: settings.once.keys };
+        let once = OnceLimits { window: settings.once.window, max_keys: settings.once.keys };
         Self {
             record: Record::new(process, settings.events),
             upstreams: Pool::new(Arc::clone(&tasks), settings.limits.connect, settings.limits.idle),
--- a/crates/bendhinge_router/src/run.rs
+++ b/crates/bendhinge_router/src/run.rs
@@ -127,14 +127,14 @@
 async fn serve_until_stopped(node: &Arc<Node>) -> Result<(), StartError> {
     let limits = node.settings.limits;
     let for_callers = ServeLimits {
-        head_bytes: limits.head_bytes,
-        head_time: limits.head,
-        connections: limits.connections,
+        max_head_bytes: limits.head_bytes,
+        head_timeout: limits.head,
+        max_connections: limits.connections,
         ..ServeLimits::default()
     };
     let operators = bind(node.settings.operators, ServeLimits::default(), node, "operators").await?;
     let callers = bind(node.settings.callers, for_callers, node, "callers").await?;
-    let stopper = callers.stopper();
+    let stopper = callers.stop_handle();
     let operating = {
         let node = Arc::clone(node);
         operators.run(move |request| {
--- a/crates/bendhinge_standin/src/engine/server.rs
+++ b/crates/bendhinge_standin/src/engine/server.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use bendhinge_http::{Body, CutConnection, Tasks, channel_body, empty_body, full_body, read_body};
+use bendhinge_http::{Body, CloseConnection, Tasks, channel_body, empty_body, full_body, read_body};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -262,7 +262,7 @@
 
 fn cut() -> Response<Body> {
     let mut answer = Response::new(empty_body());
-    answer.extensions_mut().insert(CutConnection);
+    answer.extensions_mut().insert(CloseConnection);
     answer
 }
 
--- a/crates/bendhinge_standin/src/gateway/store.rs
+++ b/crates/bendhinge_standin/src/gateway/store.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use bendhinge_http::{Body, CutConnection, ServeLimits, Server, Tasks, empty_body, full_body};
+use bendhinge_http::{Body, CloseConnection, ServeLimits, Server, Tasks, empty_body, full_body};
 use hyper::{Response, StatusCode, Uri};
 use serde_json::{Value, json};
 use smol::Timer;
@@ -270,7 +270,7 @@
         StoreFault::Busy => return with_status(StatusCode::SERVICE_UNAVAILABLE),
         StoreFault::Reset => {
             let mut cut = with_status(StatusCode::OK);
-            cut.extensions_mut().insert(CutConnection);
+            cut.extensions_mut().insert(CloseConnection);
             return cut;
         }
     }
--- a/crates/bendhinge_standin/src/gateway/upstream.rs
+++ b/crates/bendhinge_standin/src/gateway/upstream.rs
@@ -11,7 +11,7 @@
     CUSTOMER, DEADLINE, LEAVING, PROMPT, RAN, REQUEST, RESUME_AFTER, SIGNATURE, UPSTREAM,
 };
 use bendhinge_http::{
-    Body, CutConnection, ServeLimits, Server, Tasks, channel_body, empty_body, full_body, read_body,
+    Body, CloseConnection, ServeLimits, Server, Tasks, channel_body, empty_body, full_body, read_body,
 };
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -307,7 +307,7 @@
         UpstreamFault::Silent => std::future::pending().await,
         UpstreamFault::Lost => {
             let mut cut = with_status(StatusCode::OK);
-            cut.extensions_mut().insert(CutConnection);
+            cut.extensions_mut().insert(CloseConnection);
             cut
         }
         UpstreamFault::Failed => signed(with_status(StatusCode::INTERNAL_SERVER_ERROR), &id),
--- a/crates/bendhinge_standin/src/service.rs
+++ b/crates/bendhinge_standin/src/service.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use bendhinge_http::{Body, CutConnection, channel_body, full_body, read_body};
+use bendhinge_http::{Body, CloseConnection, channel_body, full_body, read_body};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -129,7 +129,7 @@
     let _ = sender.send(Err(std::io::Error::other("cut"))).await;
     let mut answer = Response::new(body);
     if !in_middle {
-        answer.extensions_mut().insert(CutConnection);
+        answer.extensions_mut().insert(CloseConnection);
     }
     answer
 }
