--- a/crates/bendhinge_delivery/src/lib.rs
+++ b/crates/bendhinge_delivery/src/lib.rs
@@ -1,18 +1,18 @@
-//! One answer, whole, to its own request: what an attempt's end means, when another attempt is
-//! allowed, and how a request marked as not repeatable runs at most once.
+//! Request delivery rules: classification of failed attempts, retry decisions, and at-most-once
+//! execution of requests marked as not repeatable.
 //!
-//! `docs/design/DELIVERY.md` says what was weighed.
+//! See `docs/design/DELIVERY.md` for the design.
 
 mod attempt;
-mod course;
 mod events;
 mod identity;
 mod once;
-mod vouch;
+mod ownership;
+mod retry;
 
 pub use attempt::{AttemptEnd, NextStep, Repeatable, next_step};
-pub use course::{Course, CourseRules, SendEnd};
 pub use events::EventSplitter;
 pub use identity::{IdentityKey, RequestIdentity};
 pub use once::{Claim, Claimant, OnceKey, OnceLedger, OnceLimits, OnceOutcome};
-pub use vouch::OwnershipHistory;
+pub use ownership::OwnershipHistory;
+pub use retry::{RetryPolicy, RetryState, SendOutcome};
--- a/crates/bendhinge_gateway/src/control/pages.rs
+++ b/crates/bendhinge_gateway/src/control/pages.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bendhinge_fleet::{Revision, UpstreamEntry, UpstreamList};
-use bendhinge_http::{FetchError, FetchTime, Fetched, empty_body, fetch};
+use bendhinge_http::{FetchError, FetchTimeouts, Fetched, empty_body, fetch};
 use bendhinge_ids::{DataCentreName, Instant};
 use hyper::{Request, StatusCode};
 use smol::Timer;
@@ -209,7 +209,7 @@
         let request = request
             .body(empty_body())
             .map_err(|error| ParseError::new("the path of the store request", &error))?;
-        let time = FetchTime { silence: store.call_timeout, whole };
+        let time = FetchTimeouts { read: store.call_timeout, total: whole };
         let fetched: Fetched =
             fetch(&self.delivering.connection_pool, store.address, request, MAX_PAGE_BYTES, time).await?;
         if fetched.status != StatusCode::OK {
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use bendhinge_delivery::SendEnd;
+use bendhinge_delivery::SendOutcome;
 use bendhinge_fleet::UpstreamEntry;
 use bendhinge_http::{Body, Connection, SendFailure, full_body, read_body};
 use bytes::Bytes;
@@ -41,7 +41,7 @@
 
 /// A failed attempt, with the upstream's error response, if there is one.
 pub(super) struct SendError {
-    pub(super) end: SendEnd,
+    pub(super) end: SendOutcome,
     pub(super) error_response: Option<Box<ErrorResponse>>,
 }
 
@@ -51,8 +51,8 @@
     pub(super) body: Bytes,
 }
 
-impl From<SendEnd> for SendError {
-    fn from(end: SendEnd) -> Self {
+impl From<SendOutcome> for SendError {
+    fn from(end: SendOutcome) -> Self {
         Self { end, error_response: None }
     }
 }
@@ -91,7 +91,7 @@
         drop(late_result.or(none_after(LATE_RESPONSE_TIMEOUT)).await);
     };
     tasks.spawn(late_response_task).detach();
-    Err(SendEnd::Silent.into())
+    Err(SendOutcome::TimedOut.into())
 }
 
 async fn none_after<T>(time: Duration) -> Option<T> {
@@ -146,19 +146,20 @@
     } else {
         context.connection_pool.connection_used_within(address, MAX_CONNECTION_IDLE_TIME).await
     };
-    let mut connection = connecting.map_err(|_| SendEnd::NotConnected)?;
+    let mut connection = connecting.map_err(|_| SendOutcome::NotConnected)?;
     // The deadline or the lease may have expired while the connection was established or the process was
     // suspended.
     if !context.may_be_sent(inbound, chosen) {
-        return Err(SendEnd::NotSent.into());
+        return Err(SendOutcome::NotSent.into());
     }
     match send_on(&mut connection, request).await {
         Ok(response) => Ok((response, connection)),
         Err(ExchangeError::NotSent(request)) if connection.reused => {
             // The upstream closed an idle connection, which is no sign of a failure.
-            connection = context.connection_pool.connect(address).await.map_err(|_| SendEnd::NotConnected)?;
+            connection =
+                context.connection_pool.connect(address).await.map_err(|_| SendOutcome::NotConnected)?;
             if !context.may_be_sent(inbound, chosen) {
-                return Err(SendEnd::NotSent.into());
+                return Err(SendOutcome::NotSent.into());
             }
             let response = send_on(&mut connection, *request).await.map_err(|failure| failure.end())?;
             Ok((response, connection))
@@ -169,13 +170,13 @@
 
 enum ExchangeError {
     NotSent(Box<Request<Body>>),
-    Ended(SendEnd),
+    Ended(SendOutcome),
 }
 
 impl ExchangeError {
-    const fn end(&self) -> SendEnd {
+    const fn end(&self) -> SendOutcome {
         match self {
-            Self::NotSent(_) => SendEnd::NotSent,
+            Self::NotSent(_) => SendOutcome::NotSent,
             Self::Ended(end) => *end,
         }
     }
@@ -187,8 +188,8 @@
 ) -> Result<Response<Incoming>, ExchangeError> {
     connection.send(request).await.map_err(|failure| match failure {
         SendFailure::NotSent(request) => ExchangeError::NotSent(request),
-        SendFailure::Unknown(error) if error.is_parse() => ExchangeError::Ended(SendEnd::Spoilt),
-        SendFailure::Unknown(_) => ExchangeError::Ended(SendEnd::Lost),
+        SendFailure::Unknown(error) if error.is_parse() => ExchangeError::Ended(SendOutcome::InvalidResponse),
+        SendFailure::Unknown(_) => ExchangeError::Ended(SendOutcome::Lost),
     })
 }
 
@@ -205,7 +206,7 @@
     let fields = context.dialect.parse_response_head(&head);
     if fields.id != inbound.fields.id {
         // The response belongs to an earlier request, so the connection can no longer be trusted.
-        return Err(SendEnd::Spoilt.into());
+        return Err(SendOutcome::InvalidResponse.into());
     }
     if !fields.is_misdirected {
         context.record_reported_state(inbound, &chosen.entry, &fields);
@@ -216,16 +217,16 @@
     }
     let is_success = head.status.is_success();
     if is_success && !fields.is_signed {
-        return Err(SendEnd::Spoilt.into());
+        return Err(SendOutcome::InvalidResponse.into());
     }
     if is_success && inbound.route.kind.is_stream() && is_event_stream(&head.headers) {
         return Ok((head, UpstreamBody::Stream(body, connection)));
     }
     let complete_body =
-        read_complete_body(context, &head, body, connection).await.map_err(|()| SendEnd::Lost)?;
+        read_complete_body(context, &head, body, connection).await.map_err(|()| SendOutcome::Lost)?;
     if head.status.is_server_error() || implies_not_run(head.status) {
         let error_response = Some(Box::new(ErrorResponse { head, body: complete_body }));
-        return Err(SendError { end: SendEnd::Failed, error_response });
+        return Err(SendError { end: SendOutcome::Failed, error_response });
     }
     Ok((head, UpstreamBody::Complete(complete_body)))
 }
@@ -236,11 +237,11 @@
 }
 
 /// Returns the result of an attempt that the upstream explicitly reports as not run.
-const fn reported_not_run(fields: &ResponseFields) -> Option<SendEnd> {
+const fn reported_not_run(fields: &ResponseFields) -> Option<SendOutcome> {
     if fields.is_misdirected {
-        return Some(SendEnd::Replaced);
+        return Some(SendOutcome::Replaced);
     }
-    if fields.not_executed { Some(SendEnd::Rejected) } else { None }
+    if fields.not_executed { Some(SendOutcome::Rejected) } else { None }
 }
 
 /// Whether the status implies that the request did not run. Such a status is not relayed if the upstream does
@@ -296,8 +297,10 @@
         self.tasks
             .spawn(async move {
                 match keep_alive {
-                    Some(keep_alive) => context.connection_pool.give_back_for(connection, keep_alive).await,
-                    None => context.connection_pool.give_back(connection).await,
+                    Some(keep_alive) => {
+                        context.connection_pool.release_with_idle_timeout(connection, keep_alive).await;
+                    }
+                    None => context.connection_pool.release(connection).await,
                 }
             })
             .detach();
--- a/crates/bendhinge_gateway/src/delivery/crash.rs
+++ b/crates/bendhinge_gateway/src/delivery/crash.rs
@@ -87,13 +87,14 @@
 /// a busy upstream may have none left. An unreachable box does not answer, which is not a crash.
 async fn refuses_connections(context: &DeliveryContext, upstream: &UpstreamEntry) -> bool {
     Timer::after(SOCKET_CLOSE_TIME).await;
-    if context.upstreams.has_own_requests(upstream.hash) || context.connection_pool.has_idle(upstream.address)
+    if context.upstreams.has_own_requests(upstream.hash)
+        || context.connection_pool.has_idle_connection(upstream.address)
     {
         return false;
     }
     match context.connection_pool.connect(upstream.address).await {
         Ok(connection) => {
-            context.connection_pool.give_back(connection).await;
+            context.connection_pool.release(connection).await;
             false
         }
         Err(ConnectError::Io(error)) => error.kind() == ErrorKind::ConnectionRefused,
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -11,7 +11,7 @@
 
 use bendhinge_admission::{PacingDecision, Requester};
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::{Course, IdentityKey, RequestIdentity, SendEnd};
+use bendhinge_delivery::{IdentityKey, RequestIdentity, RetryState, SendOutcome};
 use bendhinge_fleet::UpstreamFailure;
 use bendhinge_http::{Body, Pool, Tasks, full_body};
 use bendhinge_ids::{Instant, NameHash, PoolName, RequestDigest};
@@ -171,9 +171,9 @@
         return Err(Refusal::with_retry_after(ResultCode::AllUpstreamsAtBound, retry_after));
     }
     context.metrics.count_request();
-    let course = Course::new(bendhinge_delivery::CourseRules {
+    let course = RetryState::new(bendhinge_delivery::RetryPolicy {
         repeatable: inbound.route.kind.is_retryable(),
-        attempts: inbound.route.max_attempts,
+        max_attempts: inbound.route.max_attempts,
     });
     let log_line = RequestLogEntry::new(&inbound);
     let inbound = Arc::new(inbound);
@@ -227,7 +227,7 @@
 struct Delivery {
     context: Arc<DeliveryContext>,
     inbound: Arc<InboundRequest>,
-    course: Course,
+    course: RetryState,
     /// Whether requests to the pool are paced.
     is_paced: bool,
     tried_upstreams: Vec<NameHash>,
@@ -238,7 +238,7 @@
     /// Sends the request until an upstream's response can be relayed.
     async fn next_response(&mut self, resume_after: Option<&str>) -> Result<UpstreamResponse, DeliveryError> {
         loop {
-            let send = self.start_send(resume_after, self.course.has_spare_run())?;
+            let send = self.start_send(resume_after, self.course.allows_hedge())?;
             match self.await_response(send, resume_after).await {
                 Ok(response) => {
                     self.context.upstreams.record_response(response.chosen.entry.hash);
@@ -287,7 +287,7 @@
         mut first: PendingSend,
         resume_after: Option<&str>,
     ) -> Result<UpstreamResponse, FailedSend> {
-        if !self.course.has_spare_run() {
+        if !self.course.allows_hedge() {
             return first.result().await;
         }
         if let Some(result) = first.result_within(self.hedge_delay()).await {
@@ -299,7 +299,7 @@
             Ok(response) => {
                 // The hedge request is not late just because the first one was answered before it.
                 let is_later = other.record.number > response.record.number;
-                let end = if is_later { SendEnd::Overtaken } else { SendEnd::Silent };
+                let end = if is_later { SendOutcome::Superseded } else { SendOutcome::TimedOut };
                 self.record_send_end(&other.record, end);
                 Ok(response)
             }
@@ -377,21 +377,21 @@
 
     /// Records how a send ended, for the request and for its upstream; returns `false` if no further send may
     /// follow.
-    fn record_send_end(&mut self, record: &SendRecord, end: SendEnd) -> bool {
+    fn record_send_end(&mut self, record: &SendRecord, end: SendOutcome) -> bool {
         let DeliveryContext { upstreams, metrics, log, .. } = &*self.context;
         let SendRecord { number, upstream, started_at, .. } = record;
         self.log_line.record_send_end(*number, end);
         metrics.count_send_end(end);
         match end {
-            SendEnd::Rejected if self.is_paced => {
+            SendOutcome::Rejected if self.is_paced => {
                 let upstream_count = upstreams.count_accepting_work(&self.inbound.pool);
                 self.context.pacing.record_rejection(&self.inbound.pool, upstream.hash, upstream_count);
             }
-            SendEnd::Failed => {
+            SendOutcome::Failed => {
                 self.record_response();
                 self.record_complete_response();
             }
-            SendEnd::Lost => {
+            SendOutcome::Lost => {
                 self.log_line.set_digest(self.inbound.digest(&self.context.identity_key));
                 detect_crash(&self.context, &self.inbound, record.clone());
             }
@@ -402,7 +402,7 @@
         {
             log.upstream_ejected(&upstream.name, end);
         }
-        self.course.ended(end)
+        self.course.record_outcome(end)
     }
 
     /// Records a response for the pacing of the pool.
@@ -426,7 +426,7 @@
         let FailedSend { record, error: SendError { end, error_response } } = failed;
         let may_retry = self.record_send_end(&record, end);
         let is_past_deadline = self.inbound.time_left().is_zero();
-        let is_within_budget = || !self.course.needs_budget() || self.try_retry();
+        let is_within_budget = || !self.course.needs_retry_budget() || self.try_retry();
         if may_retry && !is_past_deadline && is_within_budget() {
             return Ok(());
         }
@@ -469,14 +469,14 @@
 }
 
 /// Returns the failure to record for the upstream, if any.
-const fn upstream_failure(end: SendEnd) -> Option<UpstreamFailure> {
+const fn upstream_failure(end: SendOutcome) -> Option<UpstreamFailure> {
     match end {
-        SendEnd::NotConnected => Some(UpstreamFailure::ConnectFailed),
-        SendEnd::NotSent | SendEnd::Overtaken => None,
-        SendEnd::Rejected => Some(UpstreamFailure::Rejected),
-        SendEnd::Replaced => Some(UpstreamFailure::WrongInstance),
-        SendEnd::Lost | SendEnd::Spoilt => Some(UpstreamFailure::ConnectionLost),
-        SendEnd::Silent => Some(UpstreamFailure::TimedOut),
-        SendEnd::Failed => Some(UpstreamFailure::ErrorResponse),
+        SendOutcome::NotConnected => Some(UpstreamFailure::ConnectFailed),
+        SendOutcome::NotSent | SendOutcome::Superseded => None,
+        SendOutcome::Rejected => Some(UpstreamFailure::Rejected),
+        SendOutcome::Replaced => Some(UpstreamFailure::WrongInstance),
+        SendOutcome::Lost | SendOutcome::InvalidResponse => Some(UpstreamFailure::ConnectionLost),
+        SendOutcome::TimedOut => Some(UpstreamFailure::TimedOut),
+        SendOutcome::Failed => Some(UpstreamFailure::ErrorResponse),
     }
 }
--- a/crates/bendhinge_gateway/src/delivery/relay.rs
+++ b/crates/bendhinge_gateway/src/delivery/relay.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::{EventSplitter, SendEnd};
-use bendhinge_http::{Body, BodyError, Connection, cut_after_flush};
+use bendhinge_delivery::{EventSplitter, SendOutcome};
+use bendhinge_http::{Body, BodyError, Connection, flush_before_error};
 use bytes::Bytes;
 use futures_lite::{FutureExt, Stream, StreamExt, stream};
 use http_body_util::BodyExt;
@@ -50,7 +50,7 @@
 enum ReadOutcome {
     Bytes(Bytes),
     End,
-    Interrupted(SendEnd),
+    Interrupted(SendOutcome),
 }
 
 impl Relay {
@@ -81,17 +81,17 @@
 
     async fn read(&mut self) -> ReadOutcome {
         let timeout = self.read_timeout();
-        let Some(source) = &mut self.source else { return ReadOutcome::Interrupted(SendEnd::Lost) };
+        let Some(source) = &mut self.source else { return ReadOutcome::Interrupted(SendOutcome::Lost) };
         let reading = async {
             match source.body.frame().await {
                 None => ReadOutcome::End,
-                Some(Err(_)) => ReadOutcome::Interrupted(SendEnd::Lost),
+                Some(Err(_)) => ReadOutcome::Interrupted(SendOutcome::Lost),
                 Some(Ok(frame)) => ReadOutcome::Bytes(frame.into_data().unwrap_or_default()),
             }
         };
         let timer = async {
             Timer::after(timeout).await;
-            ReadOutcome::Interrupted(SendEnd::Silent)
+            ReadOutcome::Interrupted(SendOutcome::TimedOut)
         };
         reading.or(timer).await
     }
@@ -101,14 +101,14 @@
     fn read_timeout(&self) -> Duration {
         let time_left = self.delivery.inbound.time_left();
         match self.delivery.inbound.route.target_gap {
-            Some(gap) if self.delivery.course.has_spare_run() => time_left.min(gap * MAX_SILENT_GAPS),
+            Some(gap) if self.delivery.course.allows_hedge() => time_left.min(gap * MAX_SILENT_GAPS),
             _ => time_left,
         }
     }
 
     fn finish(&mut self) -> Option<io::Result<Bytes>> {
         self.is_finished = true;
-        let rest = self.events.take_rest();
+        let rest = self.events.take_partial();
         if let Some(StreamSource { headers, connection, .. }) = self.source.take() {
             self.delivery.context.release_connection(&headers, connection);
         }
@@ -120,7 +120,7 @@
 
     /// Resumes the stream at another upstream after the last complete event; returns `false` if that is not
     /// possible.
-    async fn resume_elsewhere(&mut self, end: SendEnd) -> bool {
+    async fn resume_elsewhere(&mut self, end: SendOutcome) -> bool {
         // Closes the connection, which cancels the request at the upstream.
         let Some(source) = self.source.take() else { return false };
         let record = source.record.clone();
@@ -174,7 +174,7 @@
         let chunk = relay.next_events().await?;
         Some((chunk, relay))
     });
-    cut_after_flush(RelayBody { chunks: Mutex::new(chunks.boxed()) })
+    flush_before_error(RelayBody { chunks: Mutex::new(chunks.boxed()) })
 }
 
 impl hyper::body::Body for RelayBody {
--- a/crates/bendhinge_gateway/src/log/mod.rs
+++ b/crates/bendhinge_gateway/src/log/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::SendEnd;
+use bendhinge_delivery::SendOutcome;
 use bendhinge_fleet::{Origin, Version};
 use bendhinge_ids::{DataCentreName, PoolName, RequestDigest, UpstreamName};
 use bendhinge_peer::CallError;
@@ -194,7 +194,7 @@
     }
 
     /// Logs that an upstream was ejected because of a failed send.
-    pub(crate) fn upstream_ejected(&self, upstream: &UpstreamName, end: SendEnd) {
+    pub(crate) fn upstream_ejected(&self, upstream: &UpstreamName, end: SendOutcome) {
         #[derive(Serialize)]
         struct Fields<'a> {
             upstream: &'a str,
--- a/crates/bendhinge_gateway/src/log/request.rs
+++ b/crates/bendhinge_gateway/src/log/request.rs
@@ -1,7 +1,7 @@
 //! The log line of an admitted request, with its sends and its outcome.
 
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::{Course, SendEnd};
+use bendhinge_delivery::{RetryState, SendOutcome};
 use bendhinge_ids::{Instant, RequestDigest};
 use serde::Serialize;
 
@@ -84,13 +84,20 @@
     }
 
     /// Records how a send ended whose answer is not passed on.
-    pub(crate) fn record_send_end(&mut self, index: usize, end: SendEnd) {
+    pub(crate) fn record_send_end(&mut self, index: usize, end: SendOutcome) {
         if let Some(send) = self.sends.get_mut(index) {
             send.end = Some(end.as_str());
         }
     }
 
-    fn write(&mut self, log: &Log, outcome: &str, status: u16, code: Option<ResultCode>, course: &Course) {
+    fn write(
+        &mut self,
+        log: &Log,
+        outcome: &str,
+        status: u16,
+        code: Option<ResultCode>,
+        course: &RetryState,
+    ) {
         #[derive(Serialize)]
         struct Fields<'a> {
             request: &'a str,
@@ -125,13 +132,13 @@
         log: &Log,
         status: u16,
         code: Option<ResultCode>,
-        course: &Course,
+        course: &RetryState,
     ) {
         self.write(log, "answered", status, code, course);
     }
 
     /// Writes the line of a request whose caller disconnected.
-    pub(crate) fn write_caller_left(&mut self, log: &Log, course: &Course) {
+    pub(crate) fn write_caller_left(&mut self, log: &Log, course: &RetryState) {
         self.write(log, "caller_left", 0, None, course);
     }
 }
--- a/crates/bendhinge_gateway/src/metrics.rs
+++ b/crates/bendhinge_gateway/src/metrics.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bendhinge_codes::ResultCode;
-use bendhinge_delivery::SendEnd;
+use bendhinge_delivery::SendOutcome;
 use bendhinge_fleet::ListLoads;
 use bendhinge_peer::PeerMessage;
 use opentelemetry::KeyValue;
@@ -195,7 +195,7 @@
     }
 
     /// Counts a send whose answer is not passed on.
-    pub(crate) fn count_send_end(&self, end: SendEnd) {
+    pub(crate) fn count_send_end(&self, end: SendOutcome) {
         self.send_ends.add(1, &[KeyValue::new("end", end.as_str())]);
     }
 
--- a/crates/bendhinge_gateway/src/run.rs
+++ b/crates/bendhinge_gateway/src/run.rs
@@ -9,7 +9,7 @@
 use async_signal::{Signal, Signals};
 use bendhinge_codes::ExitStatus;
 use bendhinge_delivery::IdentityKey;
-use bendhinge_http::{Pool, ServeLimits, Server, ServerStop, Tasks};
+use bendhinge_http::{Pool, ServeLimits, Server, StopHandle, Tasks};
 use bendhinge_peer::TrafficCounters;
 use futures_lite::StreamExt;
 use smol::net::TcpListener;
@@ -193,13 +193,13 @@
     settings: &Settings,
     delivering: &Arc<DeliveryContext>,
     lifecycle: &Arc<Lifecycle>,
-) -> Result<ServerStop, StartError> {
+) -> Result<StopHandle, StartError> {
     /// The maximum size of a request's head; above any limit that callers are given.
     const MAX_HEAD_BYTES: usize = 64 << 10;
     let limits = ServeLimits {
-        head_bytes: MAX_HEAD_BYTES,
-        head_time: CALLER_IDLE_TIMEOUT,
-        connections: settings.max_connections,
+        max_head_bytes: MAX_HEAD_BYTES,
+        head_timeout: CALLER_IDLE_TIMEOUT,
+        max_connections: settings.max_connections,
         ..ServeLimits::default()
     };
     let recorder = Arc::clone(delivering);
@@ -209,8 +209,8 @@
     });
     let server = bind_server("callers", settings.caller_address, limits, delivering)
         .await?
-        .noting_unread(on_unread_answer);
-    let stop = server.stopper();
+        .on_write_timeout(on_unread_answer);
+    let stop = server.stop_handle();
     let intake = Arc::new(Intake { context: Arc::clone(delivering), lifecycle: Arc::clone(lifecycle) });
     let serving = server.run(move |request| intake::handle(Arc::clone(&intake), request));
     delivering.tasks.spawn(serving).detach();
@@ -222,9 +222,9 @@
     delivering: &Arc<DeliveryContext>,
     lifecycle: &Arc<Lifecycle>,
     traffic: &Arc<TrafficCounters>,
-) -> Result<ServerStop, StartError> {
+) -> Result<StopHandle, StartError> {
     let server = bind_server("ready", settings.readiness_address, ServeLimits::default(), delivering).await?;
-    let stop = server.stopper();
+    let stop = server.stop_handle();
     let readiness = Arc::new(Readiness {
         context: Arc::clone(delivering),
         lifecycle: Arc::clone(lifecycle),
--- a/crates/bendhinge_peer/src/convert.rs
+++ b/crates/bendhinge_peer/src/convert.rs
@@ -167,7 +167,7 @@
         ClaimResponse::Claim(Claim::Granted) => peer_capnp::Claim::Granted,
         ClaimResponse::Claim(Claim::AlreadyTaken) => peer_capnp::Claim::AlreadyTaken,
         ClaimResponse::Claim(Claim::AlreadyRan) => peer_capnp::Claim::AlreadyRan,
-        ClaimResponse::Claim(Claim::CannotVouch) => peer_capnp::Claim::CannotVouch,
+        ClaimResponse::Claim(Claim::Unverifiable) => peer_capnp::Claim::CannotVouch,
         ClaimResponse::Claim(Claim::Full) => peer_capnp::Claim::Full,
         ClaimResponse::NotOwner => peer_capnp::Claim::NotOwner,
     }
@@ -178,7 +178,7 @@
         peer_capnp::Claim::Granted => ClaimResponse::Claim(Claim::Granted),
         peer_capnp::Claim::AlreadyTaken => ClaimResponse::Claim(Claim::AlreadyTaken),
         peer_capnp::Claim::AlreadyRan => ClaimResponse::Claim(Claim::AlreadyRan),
-        peer_capnp::Claim::CannotVouch => ClaimResponse::Claim(Claim::CannotVouch),
+        peer_capnp::Claim::CannotVouch => ClaimResponse::Claim(Claim::Unverifiable),
         peer_capnp::Claim::Full => ClaimResponse::Claim(Claim::Full),
         peer_capnp::Claim::NotOwner => ClaimResponse::NotOwner,
     }
--- a/crates/bendhinge_router/src/delivery/once.rs
+++ b/crates/bendhinge_router/src/delivery/once.rs
@@ -97,7 +97,7 @@
         ClaimResponse::Claim(Claim::AlreadyTaken) => Some(ResultCode::OnceAlreadyTaken),
         ClaimResponse::Claim(Claim::AlreadyRan) => Some(ResultCode::OnceAlreadyRan),
         ClaimResponse::Claim(Claim::Full) => Some(ResultCode::OnceFull),
-        ClaimResponse::Claim(Claim::CannotVouch) | ClaimResponse::NotOwner => {
+        ClaimResponse::Claim(Claim::Unverifiable) | ClaimResponse::NotOwner => {
             Some(ResultCode::OnceCannotVouch)
         }
     }
@@ -124,7 +124,7 @@
     let owns = |boxes: &[BoxName]| owner_of(&text, boxes) == Some(&node.life.name);
     let (is_owner, owned_for_window) = {
         let membership = node.membership.lock().unwrap();
-        (owns(membership.history.boxes()), membership.history.vouches(now, owns))
+        (owns(membership.history.boxes()), membership.history.owned_throughout(now, owns))
     };
     if !is_owner {
         return ClaimResponse::NotOwner;
--- a/crates/bendhinge_router/src/run.rs
+++ b/crates/bendhinge_router/src/run.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bendhinge_codes::ExitStatus;
-use bendhinge_http::{ServeLimits, Server, Tasks, run_until, termination};
+use bendhinge_http::{ServeLimits, Server, Tasks, run_until, wait_for_termination};
 use bendhinge_ids::{Incarnation, RouterInstance};
 use bendhinge_peer::TrafficCounters;
 use bendhinge_timeline::EventKind;
@@ -127,14 +127,14 @@
 async fn serve_until_stopped(node: &Arc<Node>) -> Result<(), StartError> {
     let limits = node.settings.limits;
     let for_callers = ServeLimits {
-        head_bytes: limits.head_bytes,
-        head_time: limits.head,
-        connections: limits.connections,
+        max_head_bytes: limits.head_bytes,
+        head_timeout: limits.head,
+        max_connections: limits.connections,
         ..ServeLimits::default()
     };
     let operators = bind(node.settings.operators, ServeLimits::default(), node, "operators").await?;
     let callers = bind(node.settings.callers, for_callers, node, "callers").await?;
-    let stopper = callers.stopper();
+    let stopper = callers.stop_handle();
     let operating = {
         let node = Arc::clone(node);
         operators.run(move |request| {
@@ -148,7 +148,7 @@
         node.tasks.clone().spawn(callers.run(move |request| intake::handle(Arc::clone(&node), request)))
     };
     node.note(EventKind::Started { version: env!("CARGO_PKG_VERSION").to_owned() });
-    termination().await;
+    wait_for_termination().await;
     node.note(EventKind::Stopping);
     spdlog::info!("stopping; requests in progress are finished first");
     node.stopping.store(true, Ordering::Release);
