--- a/crates/bendhinge_router/src/node.rs
+++ b/crates/bendhinge_router/src/node.rs
@@ -12,7 +12,7 @@
 use bendhinge_membership::{Freshness, FreshnessLimits};
 use bendhinge_peer::Traffic;
 use bendhinge_placement::{LedgerLimits, LoadView, PermitLedger, PermitRequestBudget};
-use bendhinge_timeline::{EventKind, EventLink, ProcessId, Record};
+use bendhinge_timeline::{EventKind, EventLink, EventLog, ProcessId};
 use smol::channel::Sender;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -32,7 +32,7 @@
     pub(crate) settings: Settings,
     pub(crate) life: RouterInstance,
     pub(crate) tasks: Tasks,
-    pub(crate) record: Record,
+    pub(crate) record: EventLog,
     pub(crate) metrics: Metrics,
     pub(crate) traffic: Arc<Traffic>,
     pub(crate) upstreams: Pool,
@@ -72,7 +72,7 @@
         let ledger = LedgerLimits { lease: settings.control.lease, max_displaced_chats: DISPLACED_CHATS };
         let once = OnceLimits { window: settings.once.window, keys: settings.once.keys };
         Self {
-            record: Record::new(process, settings.events),
+            record: EventLog::new(process, settings.events),
             upstreams: Pool::new(Arc::clone(&tasks), settings.limits.connect, settings.limits.idle),
             stopping: AtomicBool::new(false),
             platform_fails: AtomicBool::new(false),
@@ -134,17 +134,17 @@
 
     /// Notes an event of the process.
     pub(crate) fn note(&self, kind: EventKind) {
-        self.record.note(None, None, kind);
+        self.record.append(None, None, kind);
     }
 
     /// Notes an event of a request.
     pub(crate) fn note_request(&self, request: RequestId, kind: EventKind) -> EventSequence {
-        self.record.note(Some(request), None, kind)
+        self.record.append(Some(request), None, kind)
     }
 
     /// Notes an event of a request that follows from another process's.
     pub(crate) fn note_caused(&self, request: RequestId, cause: EventLink, kind: EventKind) -> EventSequence {
-        self.record.note(Some(request), Some(cause), kind)
+        self.record.append(Some(request), Some(cause), kind)
     }
 }
 
--- a/crates/bendhinge_timeline/src/args.rs
+++ b/crates/bendhinge_timeline/src/args.rs
@@ -1,4 +1,4 @@
-//! The reader's command line.
+//! Command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 
 use bpaf::Bpaf;
 
-/// How the time line is printed.
+/// Output format of the timeline.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Format {
     Text,
@@ -22,31 +22,31 @@
             "text" => Ok(Self::Text),
             "json" => Ok(Self::Json),
             "svg" => Ok(Self::Svg),
-            _ => Err("write text, json or svg".to_owned()),
+            _ => Err("expected text, json or svg".to_owned()),
         }
     }
 }
 
-/// Merges the events of all routers into one time line.
+/// Merges the events of all routers into one timeline.
 ///
-/// Events tied by messages stand in causal order; `~` marks a place that only clocks decide.
-/// What a box recorded is lost with its process.
+/// Events connected by messages are in causal order; `~` marks an order that only clocks determine.
+/// Events are kept in memory and are lost when their process ends.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub(crate) struct Args {
-    /// Only the events of this request
+    /// Show only the events of this request
     #[bpaf(argument("ID"))]
     pub(crate) request: Option<String>,
-    /// Only events whose text contains this
+    /// Show only events whose text contains this
     #[bpaf(argument("TEXT"))]
     pub(crate) kind: Option<String>,
-    /// text, json (one event a line) or svg
+    /// Output format: text, json (one event per line) or svg
     #[bpaf(argument("FORMAT"), fallback(Format::Text))]
     pub(crate) format: Format,
-    /// File with the operators' key
+    /// File that contains the operators' key
     #[bpaf(argument("FILE"))]
     pub(crate) key_file: PathBuf,
-    /// Operators' addresses of the routers
-    #[bpaf(positional("ADDRESS"), some("name at least one router"))]
+    /// Operator addresses of the routers
+    #[bpaf(positional("ADDRESS"), some("expected at least one router address"))]
     pub(crate) routers: Vec<SocketAddr>,
 }
--- a/crates/bendhinge_timeline/src/event.rs
+++ b/crates/bendhinge_timeline/src/event.rs
@@ -1,97 +1,97 @@
-//! Events: changes of state, and the decisions on a request.
+//! Events of the timeline: state changes of a process and decisions about a request.
 
 use std::fmt;
 
 use bendhinge_ids::{EventSequence, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// One life of a process.
+/// Identity of one run of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProcessId {
-    /// Its box.
+    /// Name of the box that the process runs on.
     pub name: String,
-    /// Which life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
 }
 
-/// The event of another process from which a message came.
+/// Reference to the event in another process that caused an event, by way of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EventLink {
-    /// The process.
+    /// Process that recorded the causing event.
     pub process: ProcessId,
-    /// Its event.
+    /// Sequence number of the causing event.
     pub sequence: EventSequence,
 }
 
-/// What happened.
+/// Type of an event, with its details.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "event")]
-#[expect(missing_docs, reason = "the fields' names say what they are")]
+#[expect(missing_docs, reason = "the field names are self-explanatory")]
 pub enum EventKind {
-    /// The process began to serve.
+    /// The process started to serve requests.
     Started { version: String },
     /// The process was asked to stop.
     Stopping,
-    /// The process found that it had been frozen.
+    /// The process detected that its execution had been suspended.
     Woke,
-    /// A confirmed configuration was heard and settles.
+    /// A confirmed configuration was received and is not in force yet.
     ConfigurationHeard { revision: u64, digest: String, from: String },
-    /// A configuration is in force here.
+    /// A configuration came into force in this process.
     ConfigurationInForce { revision: u64, digest: String },
-    /// A document was refused.
+    /// A configuration document was rejected.
     ConfigurationRefused { reason: String, from: String },
-    /// A newer list of members was heard.
+    /// A newer member list was received.
     ListChanged { revision: u64, routers: usize, upstreams: usize, from: String },
-    /// The set of routers that count for upstreams changed.
+    /// The set of routers that count requests for upstreams changed.
     CountingRoutersChanged { routers: usize },
-    /// An upstream stopped answering, or answers again.
+    /// An upstream became unreachable, or reachable again.
     UpstreamHealth { upstream: String, reachable: bool },
-    /// An engine took an order.
+    /// An engine accepted an order.
     OrderTaken { upstream: String, fence: u64 },
-    /// A request came in.
+    /// A request was received.
     Received { customer: String, pool: String, chat: String },
-    /// The request was refused or failed; what the caller was told.
+    /// The request was rejected or failed; records the result returned to the caller.
     Told { code: String, ran: String },
-    /// A router that counts was asked for a permit.
+    /// A permit was requested from the router that counts requests for the upstream.
     PermitAsked { upstream: String, owner: String },
-    /// This router counted a request.
+    /// This router granted a permit.
     PermitGranted { upstream: String, in_progress: u32 },
     /// This router denied a permit.
     PermitDenied { upstream: String, reason: String },
-    /// A permit was received.
+    /// A permit was received from another router.
     PermitReceived { upstream: String },
-    /// An idempotency key was asked for.
+    /// A claim on an idempotency key was requested from its owner.
     ClaimAsked { owner: String },
-    /// This router decided on an idempotency key.
+    /// This router decided on a claim on an idempotency key.
     ClaimDecided { claim: String },
-    /// An upstream was chosen.
+    /// An upstream was selected for the request.
     Placed { upstream: String, reason: String },
-    /// An attempt began.
+    /// An attempt to send the request to an upstream started.
     AttemptStarted { upstream: String, number: u32 },
-    /// An attempt ended without a whole answer.
+    /// An attempt ended without a complete response.
     AttemptEnded { upstream: String, end: String },
-    /// The answer's head was passed on.
+    /// The response head was forwarded to the caller.
     Answered { upstream: String, status: u16 },
-    /// The whole answer was passed on.
+    /// The complete response was forwarded to the caller.
     Finished { upstream: String },
-    /// The caller went away first; its work was cancelled.
+    /// The caller disconnected before the end of the response; the request was cancelled.
     CallerLeft { upstream: String },
 }
 
-/// One event.
+/// Entry of an event log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Its number in its process.
+    /// Sequence number of the event within its process.
     pub sequence: EventSequence,
-    /// Microseconds since 1970 by its box's clock.
+    /// Time of the event in microseconds since the Unix epoch, by the clock of its box.
     pub at_micros: u64,
-    /// The request concerned, if one is.
+    /// ID of the request that the event belongs to, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<String>,
-    /// The event of another process that it follows from.
+    /// Event in another process that caused this one, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<EventLink>,
-    /// What happened.
+    /// Type of the event, with its details.
     #[serde(flatten)]
     pub kind: EventKind,
 }
--- a/crates/bendhinge_timeline/src/fetch.rs
+++ b/crates/bendhinge_timeline/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Reading the records of running processes.
+//! Fetches the event logs of running processes.
 
 use std::net::SocketAddr;
 use std::num::NonZeroUsize;
@@ -7,56 +7,56 @@
 
 use bendhinge_codes::ResultCode;
 use bendhinge_http::{FetchError, Pool, Tasks, empty_body, fetch, run_until};
-use bendhinge_timeline::RecordPage;
+use bendhinge_timeline::EventLogPage;
 use hyper::Request;
 
-const LARGEST_RECORD: usize = 64 << 20;
-const TIME: Duration = Duration::from_secs(10);
+const MAX_PAGE_BYTES: usize = 64 << 20;
+const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What could be read.
-pub(crate) struct Fetched {
-    pub(crate) pages: Vec<RecordPage>,
-    pub(crate) failures: Vec<Failure>,
+/// Event logs that were fetched, and the failures.
+pub(crate) struct FetchResults {
+    pub(crate) pages: Vec<EventLogPage>,
+    pub(crate) failures: Vec<FetchFailure>,
 }
 
-/// A process that could not be read.
+/// Failure to fetch the event log of a router.
 #[derive(Debug, thiserror::Error)]
-#[error("{code}: {address}: {error}; what it recorded is not shown", code = ResultCode::RouterUnreachable)]
-pub(crate) struct Failure {
+#[error("{code}: {address}: {error}; its events are missing from the timeline", code = ResultCode::RouterUnreachable)]
+pub(crate) struct FetchFailure {
     address: SocketAddr,
     error: FetchError,
 }
 
-pub(crate) fn records(routers: &[SocketAddr], key: &str, request: Option<&str>) -> Fetched {
+pub(crate) fn fetch_pages(routers: &[SocketAddr], key: &str, request: Option<&str>) -> FetchResults {
     let tasks = Tasks::default();
-    let pool = Pool::new(Arc::clone(&tasks), TIME, TIME);
+    let pool = Pool::new(Arc::clone(&tasks), FETCH_TIMEOUT, FETCH_TIMEOUT);
     run_until(&tasks, NonZeroUsize::MIN, async {
-        let mut fetched = Fetched { pages: Vec::new(), failures: Vec::new() };
+        let mut results = FetchResults { pages: Vec::new(), failures: Vec::new() };
         for address in routers {
-            match record(&pool, *address, key, request).await {
-                Ok(page) => fetched.pages.push(page),
-                Err(error) => fetched.failures.push(Failure { address: *address, error }),
+            match fetch_page(&pool, *address, key, request).await {
+                Ok(page) => results.pages.push(page),
+                Err(error) => results.failures.push(FetchFailure { address: *address, error }),
             }
         }
-        fetched
+        results
     })
 }
 
-async fn record(
+async fn fetch_page(
     pool: &Pool,
     address: SocketAddr,
     key: &str,
     request: Option<&str>,
-) -> Result<RecordPage, FetchError> {
+) -> Result<EventLogPage, FetchError> {
     let path = request.map_or_else(|| "/timeline".to_owned(), |id| format!("/timeline?request={id}"));
     let request = Request::get(path)
         .header("host", address.to_string())
         .header("authorization", format!("Bearer {key}"))
         .body(empty_body())
-        .expect("the parts were made here");
-    let fetched = fetch(pool, address, request, LARGEST_RECORD, TIME).await?;
-    if !fetched.status.is_success() {
-        return Err(FetchError::Status(fetched.status));
+        .expect("the path and the headers are valid");
+    let response = fetch(pool, address, request, MAX_PAGE_BYTES, FETCH_TIMEOUT).await?;
+    if !response.status.is_success() {
+        return Err(FetchError::Status(response.status));
     }
-    Ok(serde_json::from_slice(&fetched.body)?)
+    Ok(serde_json::from_slice(&response.body)?)
 }
--- a/crates/bendhinge_timeline/src/lib.rs
+++ b/crates/bendhinge_timeline/src/lib.rs
@@ -1,14 +1,13 @@
-//! The record of events that each process keeps in memory, and their merging into one time
-//! line over all processes.
+//! In-memory event log of each process, and the merge of several logs into one timeline.
 
 mod event;
+mod event_log;
 mod merge;
-mod picture;
-mod record;
+mod svg;
 mod text;
 
 pub use event::{Event, EventKind, EventLink, ProcessId};
-pub use merge::{Filter, Order, Placed, merge};
-pub use picture::svg;
-pub use record::{Record, RecordPage};
-pub use text::lines;
+pub use event_log::{EventLog, EventLogPage};
+pub use merge::{Filter, OrderBasis, TimelineEntry, merge};
+pub use svg::render_svg;
+pub use text::render_lines;
--- a/crates/bendhinge_timeline/src/main.rs
+++ b/crates/bendhinge_timeline/src/main.rs
@@ -1,4 +1,4 @@
-//! The time-line reader.
+//! Command-line tool that prints the merged timeline of all routers.
 
 mod args;
 mod fetch;
@@ -22,31 +22,31 @@
             return ExitStatus::Usage;
         }
     };
-    let fetched = fetch::records(&args.routers, &key, args.request.as_deref());
-    for failure in &fetched.failures {
+    let results = fetch::fetch_pages(&args.routers, &key, args.request.as_deref());
+    for failure in &results.failures {
         eprintln!("bendhinge-timeline: {failure}");
     }
-    for page in fetched.pages.iter().filter(|page| page.lost > 0) {
+    for page in results.pages.iter().filter(|page| page.lost > 0) {
         eprintln!(
-            "bendhinge-timeline: {}: {} earlier events made room and are lost",
+            "bendhinge-timeline: {}: {} earlier events were evicted from the log",
             page.process.name, page.lost
         );
     }
-    let filter = bendhinge_timeline::Filter { request: args.request.clone(), kind: args.kind.clone() };
-    let line = bendhinge_timeline::merge(&fetched.pages, &filter);
+    let filter = bendhinge_timeline::Filter { request: args.request.clone(), event_text: args.kind.clone() };
+    let timeline = bendhinge_timeline::merge(&results.pages, &filter);
     match args.format {
-        Format::Text => bendhinge_timeline::lines(&line).iter().for_each(|text| println!("{text}")),
-        Format::Json => line.iter().for_each(|placed| println!("{}", json(placed))),
-        Format::Svg => print!("{}", bendhinge_timeline::svg(&line)),
+        Format::Text => bendhinge_timeline::render_lines(&timeline).iter().for_each(|row| println!("{row}")),
+        Format::Json => timeline.iter().for_each(|entry| println!("{}", json(entry))),
+        Format::Svg => print!("{}", bendhinge_timeline::render_svg(&timeline)),
     }
-    if fetched.failures.is_empty() { ExitStatus::Success } else { ExitStatus::Failure }
+    if results.failures.is_empty() { ExitStatus::Success } else { ExitStatus::Failure }
 }
 
-fn json(placed: &bendhinge_timeline::Placed) -> String {
-    let order = match placed.order {
-        bendhinge_timeline::Order::SameProcess => "same_process",
-        bendhinge_timeline::Order::Message => "message",
-        bendhinge_timeline::Order::Clocks => "clocks",
+fn json(entry: &bendhinge_timeline::TimelineEntry) -> String {
+    let basis = match entry.order_basis {
+        bendhinge_timeline::OrderBasis::SameProcess => "same_process",
+        bendhinge_timeline::OrderBasis::MessageChain => "message",
+        bendhinge_timeline::OrderBasis::WallClock => "clocks",
     };
-    serde_json::json!({ "process": placed.process, "order": order, "event": placed.event }).to_string()
+    serde_json::json!({ "process": entry.process, "order": basis, "event": entry.event }).to_string()
 }
--- a/crates/bendhinge_timeline/src/merge.rs
+++ b/crates/bendhinge_timeline/src/merge.rs
@@ -1,169 +1,176 @@
-//! Merging records: in causal order where messages tie events, by clocks elsewhere, and honest
-//! about which of the two it was.
+//! Merge of event logs into one timeline: in causal order where messages connect events, by wall clock
+//! elsewhere. Each entry states which of the two determined its position.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
 use bendhinge_ids::EventSequence;
 
-use crate::{Event, ProcessId, RecordPage};
+use crate::{Event, EventLogPage, ProcessId};
 
-/// Which events are wanted.
+/// Selects the events of a timeline.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
-    /// Only those of this request, and what other processes did on its behalf.
+    /// Selects the events that carry this request ID, in all processes.
     pub request: Option<String>,
-    /// Only those whose name contains this.
-    pub kind: Option<String>,
+    /// Selects the events whose text contains this.
+    pub event_text: Option<String>,
 }
 
-/// How an event's place after the one before it is known.
+/// What determines that an event follows the preceding entry of the timeline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Order {
-    /// One process recorded both.
+pub enum OrderBasis {
+    /// Both events come from the same process.
     SameProcess,
-    /// A chain of messages leads from one to the other.
-    Message,
-    /// Only by the two boxes' clocks, which may differ.
-    Clocks,
+    /// A chain of messages connects the preceding event to this one.
+    MessageChain,
+    /// Only the clocks of the two boxes, which may differ.
+    WallClock,
 }
 
-/// An event with its place.
+/// Event at its position in the timeline.
 #[derive(Clone, Debug)]
-pub struct Placed {
-    /// The process that recorded it.
+pub struct TimelineEntry {
+    /// Process that recorded the event.
     pub process: ProcessId,
-    /// The event.
+    /// Recorded event.
     pub event: Event,
-    /// How its place is known.
-    pub order: Order,
+    /// What determines the position.
+    pub order_basis: OrderBasis,
 }
 
-/// An event's place in the records: which record, which event.
+/// Index of an event in the merged pages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Place {
-    record: usize,
+struct EventPosition {
+    page: usize,
     event: usize,
 }
 
-struct Graph<'a> {
-    records: &'a [RecordPage],
-    before: HashMap<Place, Vec<Place>>,
-    after: HashMap<Place, Vec<Place>>,
+/// Happens-before graph of the events: sequence within a process, and messages between processes.
+struct CausalGraph<'a> {
+    pages: &'a [EventLogPage],
+    predecessors: HashMap<EventPosition, Vec<EventPosition>>,
+    successors: HashMap<EventPosition, Vec<EventPosition>>,
 }
 
-impl<'a> Graph<'a> {
-    fn new(records: &'a [RecordPage]) -> Self {
-        let mut graph = Self { records, before: HashMap::new(), after: HashMap::new() };
-        let by_number = index(records);
-        for place in places(records) {
-            if place.event > 0 {
-                graph.tie(Place { event: place.event - 1, ..place }, place);
+impl<'a> CausalGraph<'a> {
+    fn new(pages: &'a [EventLogPage]) -> Self {
+        let mut graph = Self { pages, predecessors: HashMap::new(), successors: HashMap::new() };
+        let by_sequence = index_by_sequence(pages);
+        for position in event_positions(pages) {
+            if position.event > 0 {
+                graph.add_edge(EventPosition { event: position.event - 1, ..position }, position);
             }
-            let cause = graph.event(place).cause.as_ref();
-            let cause = cause.and_then(|link| by_number.get(&(&link.process, link.sequence)));
+            let cause = graph.event(position).cause.as_ref();
+            let cause = cause.and_then(|link| by_sequence.get(&(&link.process, link.sequence)));
             if let Some(cause) = cause {
-                graph.tie(*cause, place);
+                graph.add_edge(*cause, position);
             }
         }
         graph
     }
 
-    fn tie(&mut self, first: Place, second: Place) {
-        self.before.entry(second).or_default().push(first);
-        self.after.entry(first).or_default().push(second);
+    fn add_edge(&mut self, first: EventPosition, second: EventPosition) {
+        self.predecessors.entry(second).or_default().push(first);
+        self.successors.entry(first).or_default().push(second);
     }
 
-    fn event(&self, place: Place) -> &'a Event {
-        &self.records[place.record].events[place.event]
+    fn event(&self, position: EventPosition) -> &'a Event {
+        &self.pages[position.page].events[position.event]
     }
 
-    /// All events so that causes stand before effects; by clocks where nothing else decides.
-    fn sorted(&self) -> Vec<Place> {
-        let mut waiting: HashMap<Place, usize> = HashMap::new();
+    /// Returns all events with causes ahead of their effects. Ties are broken by wall clock.
+    fn topological_order(&self) -> Vec<EventPosition> {
+        let mut pending_causes: HashMap<EventPosition, usize> = HashMap::new();
         let mut ready = BinaryHeap::new();
-        for place in places(self.records) {
-            let causes = self.before.get(&place).map_or(0, Vec::len);
-            waiting.insert(place, causes);
-            if causes == 0 {
-                ready.push(Reverse((self.event(place).at_micros, place)));
+        for position in event_positions(self.pages) {
+            let cause_count = self.predecessors.get(&position).map_or(0, Vec::len);
+            pending_causes.insert(position, cause_count);
+            if cause_count == 0 {
+                ready.push(Reverse((self.event(position).at_micros, position)));
             }
         }
-        let mut sorted = Vec::new();
-        while let Some(Reverse((_, place))) = ready.pop() {
-            sorted.push(place);
-            for next in self.after.get(&place).into_iter().flatten() {
-                let causes = waiting.get_mut(next).expect("every event was counted");
-                *causes -= 1;
-                if *causes == 0 {
+        let mut ordered = Vec::new();
+        while let Some(Reverse((_, position))) = ready.pop() {
+            ordered.push(position);
+            for next in self.successors.get(&position).into_iter().flatten() {
+                let cause_count =
+                    pending_causes.get_mut(next).expect("pending_causes has an entry for every event");
+                *cause_count -= 1;
+                if *cause_count == 0 {
                     ready.push(Reverse((self.event(*next).at_micros, *next)));
                 }
             }
         }
-        sorted
+        ordered
     }
 
-    /// Whether a chain of messages leads from `first` to `second`.
-    fn leads(&self, first: Place, second: Place) -> bool {
-        let mut seen = HashSet::new();
-        let mut open = vec![second];
-        while let Some(place) = open.pop() {
-            if place.record == first.record && place.event <= first.event {
-                // Reaching an earlier event of the same process does not tie the later one.
-                if place == first {
+    /// Whether a chain of messages connects `first` to `second`.
+    fn has_path(&self, first: EventPosition, second: EventPosition) -> bool {
+        let mut visited = HashSet::new();
+        let mut stack = vec![second];
+        while let Some(position) = stack.pop() {
+            if position.page == first.page && position.event <= first.event {
+                // A path from an earlier event of the same process is no path from `first`.
+                if position == first {
                     return true;
                 }
                 continue;
             }
-            if seen.insert(place) {
-                open.extend(self.before.get(&place).into_iter().flatten().copied());
+            if visited.insert(position) {
+                stack.extend(self.predecessors.get(&position).into_iter().flatten().copied());
             }
         }
         false
     }
 
-    fn order(&self, previous: Option<Place>, place: Place) -> Order {
+    fn order_basis(&self, previous: Option<EventPosition>, position: EventPosition) -> OrderBasis {
         match previous {
-            None => Order::SameProcess,
-            Some(previous) if previous.record == place.record => Order::SameProcess,
-            Some(previous) if self.leads(previous, place) => Order::Message,
-            Some(_) => Order::Clocks,
+            None => OrderBasis::SameProcess,
+            Some(previous) if previous.page == position.page => OrderBasis::SameProcess,
+            Some(previous) if self.has_path(previous, position) => OrderBasis::MessageChain,
+            Some(_) => OrderBasis::WallClock,
         }
     }
 }
 
-fn places(records: &[RecordPage]) -> impl Iterator<Item = Place> {
-    let numbered = records.iter().enumerate();
-    numbered.flat_map(|(record, page)| (0..page.events.len()).map(move |event| Place { record, event }))
+fn event_positions(pages: &[EventLogPage]) -> impl Iterator<Item = EventPosition> {
+    let numbered = pages.iter().enumerate();
+    numbered.flat_map(|(page, log)| (0..log.events.len()).map(move |event| EventPosition { page, event }))
 }
 
-fn index(records: &[RecordPage]) -> HashMap<(&ProcessId, EventSequence), Place> {
-    let key =
-        |place: Place| (&records[place.record].process, records[place.record].events[place.event].sequence);
-    places(records).map(|place| (key(place), place)).collect()
+fn index_by_sequence(pages: &[EventLogPage]) -> HashMap<(&ProcessId, EventSequence), EventPosition> {
+    let key = |pos: EventPosition| (&pages[pos.page].process, pages[pos.page].events[pos.event].sequence);
+    event_positions(pages).map(|position| (key(position), position)).collect()
 }
 
-/// Merges `records` into one time line of the events that `filter` wants.
+/// Merges event logs into one timeline of the events that match `filter`.
 #[must_use]
-pub fn merge(records: &[RecordPage], filter: &Filter) -> Vec<Placed> {
-    let graph = Graph::new(records);
+pub fn merge(pages: &[EventLogPage], filter: &Filter) -> Vec<TimelineEntry> {
+    let graph = CausalGraph::new(pages);
     let mut previous = None;
-    let mut line = Vec::new();
-    for place in graph.sorted() {
-        let event = graph.event(place);
-        if filter.wants(event) {
-            let order = graph.order(previous, place);
-            line.push(Placed { process: records[place.record].process.clone(), event: event.clone(), order });
-            previous = Some(place);
+    let mut timeline = Vec::new();
+    for position in graph.topological_order() {
+        let event = graph.event(position);
+        if filter.matches(event) {
+            let order_basis = graph.order_basis(previous, position);
+            timeline.push(TimelineEntry {
+                process: pages[position.page].process.clone(),
+                event: event.clone(),
+                order_basis,
+            });
+            previous = Some(position);
         }
     }
-    line
+    timeline
 }
 
 impl Filter {
-    fn wants(&self, event: &Event) -> bool {
-        let request = self.request.as_ref().is_none_or(|wanted| event.request.as_ref() == Some(wanted));
-        let kind = self.kind.as_ref().is_none_or(|wanted| event.kind.to_string().contains(wanted.as_str()));
-        request && kind
+    fn matches(&self, event: &Event) -> bool {
+        let request_matches =
+            self.request.as_ref().is_none_or(|wanted| event.request.as_ref() == Some(wanted));
+        let kind_matches =
+            self.event_text.as_ref().is_none_or(|wanted| event.kind.to_string().contains(wanted.as_str()));
+        request_matches && kind_matches
     }
 }
--- a/crates/bendhinge_timeline/tests/merge.rs
+++ b/crates/bendhinge_timeline/tests/merge.rs
@@ -1,8 +1,8 @@
-//! Merging records of processes whose clocks differ.
+//! Merge of the event logs of processes whose clocks differ.
 
 use bendhinge_ids::{EventSequence, Incarnation};
 use bendhinge_timeline::{
-    Event, EventKind, EventLink, Filter, Order, ProcessId, RecordPage, lines, merge, svg,
+    Event, EventKind, EventLink, EventLogPage, Filter, OrderBasis, ProcessId, merge, render_lines, render_svg,
 };
 
 fn process(name: &str) -> ProcessId {
@@ -16,55 +16,59 @@
     Event { sequence: EventSequence(sequence), at_micros, request: Some("r1".to_owned()), cause, kind }
 }
 
-fn page(name: &str, events: Vec<Event>) -> RecordPage {
-    RecordPage { process: process(name), lost: 0, events }
+fn page(name: &str, events: Vec<Event>) -> EventLogPage {
+    EventLogPage { process: process(name), lost: 0, events }
 }
 
-/// The asked router's clock is an hour behind: its answer still stands between question and
-/// receipt, and the line says by what right.
+/// Guards against ordering by wall clock where messages connect the events: the granting router's clock is an
+/// hour behind.
 #[test]
-fn messages_order_what_clocks_do_not() {
+fn messages_take_precedence_over_clocks() {
     const HOUR: u64 = 3_600_000_000;
-    let asker =
+    let requester =
         page("a", vec![event(1, HOUR, None, "asked"), event(2, HOUR + 500, Some(("b", 7)), "answered")]);
-    let asked = page("b", vec![event(6, 10, None, "earlier"), event(7, 20, Some(("a", 1)), "granted")]);
-    let line = merge(&[asker, asked], &Filter::default());
-    let text = lines(&line);
+    let grantor = page("b", vec![event(6, 10, None, "earlier"), event(7, 20, Some(("a", 1)), "granted")]);
+    let timeline = merge(&[requester, grantor], &Filter::default());
+    let text = render_lines(&timeline);
     let position = |word: &str| text.iter().position(|line| line.contains(word)).unwrap();
     assert!(
         position("asked") < position("granted") && position("granted") < position("answered"),
         "{text:#?}"
     );
-    assert_eq!(line[position("granted")].order, Order::Message);
-    assert_eq!(line[position("answered")].order, Order::Message);
-    assert_eq!(line[position("asked")].order, Order::Clocks, "nothing ties it to what b did before");
+    assert_eq!(timeline[position("granted")].order_basis, OrderBasis::MessageChain);
+    assert_eq!(timeline[position("answered")].order_basis, OrderBasis::MessageChain);
+    assert_eq!(
+        timeline[position("asked")].order_basis,
+        OrderBasis::WallClock,
+        "no message connects it to the earlier event of b"
+    );
 }
 
 #[test]
-fn a_filter_keeps_causal_order() {
+fn filter_preserves_causal_order() {
     let mut other = event(2, 50, None, "unrelated");
     other.request = Some("r2".to_owned());
     let first = page("a", vec![event(1, 100, None, "asked"), other]);
     let second = page("b", vec![event(1, 1, Some(("a", 1)), "granted")]);
-    let filter = Filter { request: Some("r1".to_owned()), kind: None };
-    let line = merge(&[first, second], &filter);
-    assert_eq!(line.len(), 2);
-    assert!(lines(&line)[1].contains("granted"));
+    let filter = Filter { request: Some("r1".to_owned()), event_text: None };
+    let timeline = merge(&[first, second], &filter);
+    assert_eq!(timeline.len(), 2);
+    assert!(render_lines(&timeline)[1].contains("granted"));
 }
 
-/// A cause that made room in its process's record is gone; the rest is still merged.
+/// An event whose cause was evicted from the log of its process is still merged.
 #[test]
-fn a_lost_cause_is_no_obstacle() {
-    let line = merge(&[page("b", vec![event(7, 20, Some(("a", 1)), "granted")])], &Filter::default());
-    assert_eq!(line.len(), 1);
+fn event_with_evicted_cause_is_merged() {
+    let timeline = merge(&[page("b", vec![event(7, 20, Some(("a", 1)), "granted")])], &Filter::default());
+    assert_eq!(timeline.len(), 1);
 }
 
 #[test]
-fn a_picture_shows_every_event_and_message() {
-    let asker = page("a", vec![event(1, 100, None, "<asked>")]);
-    let asked = page("b", vec![event(7, 120, Some(("a", 1)), "granted")]);
-    let picture = svg(&merge(&[asker, asked], &Filter::default()));
-    assert_eq!(picture.matches("<circle").count(), 2);
-    assert_eq!(picture.matches("#c33").count(), 1);
-    assert!(picture.contains("&lt;asked&gt;"), "texts are escaped");
+fn svg_contains_every_event_and_message() {
+    let requester = page("a", vec![event(1, 100, None, "<asked>")]);
+    let grantor = page("b", vec![event(7, 120, Some(("a", 1)), "granted")]);
+    let image = render_svg(&merge(&[requester, grantor], &Filter::default()));
+    assert_eq!(image.matches("<circle").count(), 2);
+    assert_eq!(image.matches("#c33").count(), 1);
+    assert!(image.contains("&lt;asked&gt;"), "event texts are escaped");
 }
