--- a/crates/bendhinge_operator/src/commands/check.rs
+++ b/crates/bendhinge_operator/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `bendhinge check`.
+//! `bendhinge check`: validates a configuration file.
 
 use std::path::Path;
 
--- a/crates/bendhinge_operator/src/commands/mod.rs
+++ b/crates/bendhinge_operator/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module per command.
+//! Implementation of the commands, with one module each.
 
 mod check;
 mod confirm;
@@ -12,7 +12,7 @@
 use crate::args::Command;
 use crate::router::ReadError;
 
-/// Why a command failed.
+/// Error of a command.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
     #[error(transparent)]
@@ -23,15 +23,15 @@
     Intent(#[from] IntentError),
     #[error(transparent)]
     Plan(#[from] PlanError),
-    #[error("the file is not a plan: {0}")]
-    NotAPlan(serde_json::Error),
-    #[error("the router's answer cannot be read: {0}")]
-    Answer(serde_json::Error),
+    #[error("invalid plan file: {0}")]
+    BadPlan(serde_json::Error),
+    #[error("invalid JSON in the router's response: {0}")]
+    BadResponse(serde_json::Error),
     #[error("cannot write {0}: {1}")]
-    Write(std::path::PathBuf, std::io::Error),
+    WriteFile(std::path::PathBuf, std::io::Error),
 }
 
-/// Runs a command.
+/// Runs `command` and prints its result to standard output.
 pub(crate) fn run(command: &Command) -> Result<(), CommandError> {
     match command {
         Command::Check { file } => check::run(file),
--- a/crates/bendhinge_operator/src/commands/seal_first.rs
+++ b/crates/bendhinge_operator/src/commands/seal_first.rs
@@ -1,4 +1,4 @@
-//! `bendhinge seal-first`.
+//! `bendhinge seal-first`: seals the initial configuration of a fleet.
 
 use std::path::Path;
 
--- a/crates/bendhinge_operator/src/commands/status.rs
+++ b/crates/bendhinge_operator/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `bendhinge status`.
+//! `bendhinge status`: shows the configuration in force and the known members on each router.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -7,25 +7,25 @@
 use serde_json::Value;
 
 use super::CommandError;
-use crate::router::{page, read_key};
+use crate::router::{fetch_page, read_key};
 
 pub(crate) fn run(key_file: &Path, routers: &[SocketAddr]) -> Result<(), CommandError> {
     let key = read_key(key_file)?;
-    let mut failure = None;
+    let mut last_error = None;
     println!(
         "{:<12} {:>8} {:<32} {:>8} {:>8} {:>9}  note",
         "router", "revision", "digest", "list", "counting", "upstreams"
     );
     for router in routers {
-        match page(*router, &key, "/status") {
-            Ok(status) => print_status(&serde_json::from_str(&status).map_err(CommandError::Answer)?),
+        match fetch_page(*router, &key, "/status") {
+            Ok(status) => print_status(&serde_json::from_str(&status).map_err(CommandError::BadResponse)?),
             Err(error) => {
                 println!("{router} {error}");
-                failure = Some(error);
+                last_error = Some(error);
             }
         }
     }
-    failure.map_or(Ok(()), |error| Err(error.into()))
+    last_error.map_or(Ok(()), |error| Err(error.into()))
 }
 
 fn print_status(status: &Value) {
@@ -39,20 +39,20 @@
         text("configuration_digest"),
         number("list_revision"),
         number("upstreams"),
-        note(status)
+        format_notes(status)
     );
 }
 
-fn note(status: &Value) -> String {
+fn format_notes(status: &Value) -> String {
     let mut notes = Vec::new();
     if status["stopping"] == true {
         notes.push("stopping".to_owned());
     }
     if status["fresh"] == false {
-        notes.push("woke from a freeze".to_owned());
+        notes.push("resumed after a suspension".to_owned());
     }
     if status["latest_revision"] != status["configuration_revision"] {
-        notes.push(format!("revision {} settles", status["latest_revision"]));
+        notes.push(format!("revision {} not in force yet", status["latest_revision"]));
     }
     if let Some(revision) = status["superseded_revision"].as_u64() {
         let digest = status["superseded_digest"].as_str().unwrap_or_default();
--- a/crates/bendhinge_operator/src/lib.rs
+++ b/crates/bendhinge_operator/src/lib.rs
@@ -1,1 +1,1 @@
-//! Placeholder.
+//! Library target without items; the package provides the `bendhinge` binary.
--- a/crates/bendhinge_operator/src/main.rs
+++ b/crates/bendhinge_operator/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' tool.
+//! Command-line tool for operators.
 
 mod args;
 mod commands;
--- a/crates/bendhinge_operator/src/render.rs
+++ b/crates/bendhinge_operator/src/render.rs
@@ -1,19 +1,19 @@
-//! A plan as an operator reads it.
+//! Text format of a plan.
 
 use std::fmt::Write as _;
 
 use bendhinge_configuration::{Change, Plan, PoolEffect};
 
-/// The plan as text.
-// Writing to a String cannot fail, here and below.
-pub(crate) fn plan(plan: &Plan) -> String {
+/// Formats a plan for an operator.
+// Writing to a `String` cannot fail, so this and the `write_*` functions discard the result.
+pub(crate) fn render_plan(plan: &Plan) -> String {
     let mut text = String::new();
     let _ = writeln!(text, "Plan {} from revision {} ({})", plan.digest, plan.base_revision, plan.base);
     let _ = writeln!(text, "Nothing changes until it is confirmed and published.\n\nChanges:");
     plan.changes.iter().for_each(|change| write_change(&mut text, change));
-    plan.pools.iter().for_each(|pool| write_pool(&mut text, pool));
+    plan.pools.iter().for_each(|effect| write_pool_effect(&mut text, effect));
     for share in &plan.shares {
-        let (before, after) = (percent(share.before), percent(share.after));
+        let (before, after) = (format_percent(share.before), format_percent(share.after));
         let _ = writeln!(
             text,
             "Class {}: {before} of a full pool before, {after} after; beyond that it is refused.",
@@ -28,45 +28,48 @@
 
 fn write_change(text: &mut String, change: &Change) {
     let _ = writeln!(text, "  [{}]", change.section);
-    let gone = change.before.lines().filter(|line| !change.after.lines().any(|other| other == *line));
-    let new = change.after.lines().filter(|line| !change.before.lines().any(|other| other == *line));
-    gone.for_each(|line| {
+    let removed = change.before.lines().filter(|line| !change.after.lines().any(|other| other == *line));
+    let added = change.after.lines().filter(|line| !change.before.lines().any(|other| other == *line));
+    removed.for_each(|line| {
         let _ = writeln!(text, "  - {line}");
     });
-    new.for_each(|line| {
+    added.for_each(|line| {
         let _ = writeln!(text, "  + {line}");
     });
 }
 
-fn write_pool(text: &mut String, pool: &PoolEffect) {
-    let _ = writeln!(text, "Pool {}:", pool.pool);
+fn write_pool_effect(text: &mut String, effect: &PoolEffect) {
+    let _ = writeln!(text, "Pool {}:", effect.pool);
     let _ = writeln!(
         text,
         "  upstreams that take new work: {} before, {} after",
-        pool.upstreams_before, pool.upstreams_after
+        effect.upstreams_before, effect.upstreams_after
     );
-    let _ =
-        writeln!(text, "  requests served at once: {} before, {} after", pool.slots_before, pool.slots_after);
-    let _ = writeln!(text, "  chats that move, losing their context: {}", percent(pool.chats_moved));
-    if pool.reloads {
+    let _ = writeln!(
+        text,
+        "  requests served at once: {} before, {} after",
+        effect.slots_before, effect.slots_after
+    );
+    let _ = writeln!(text, "  chats that move, losing their context: {}", format_percent(effect.chats_moved));
+    if effect.reloads {
         text.push_str(
             "  engines are ordered to load another model, version or adapter; all context there is lost\n",
         );
     }
-    for data_centre in &pool.data_centres {
+    for data_centre in &effect.data_centres {
         let _ = writeln!(
             text,
             "  load in {}: {} before, {} after",
             data_centre.data_centre,
-            percent(data_centre.before),
-            percent(data_centre.after)
+            format_percent(data_centre.before),
+            format_percent(data_centre.after)
         );
     }
-    if pool.upstreams_after == 0 {
+    if effect.upstreams_after == 0 {
         text.push_str("  EVERY REQUEST WOULD BE REFUSED: no upstream would be left\n");
     }
 }
 
-fn percent(part: f64) -> String {
-    format!("{:.1} %", part * 100.0)
+fn format_percent(fraction: f64) -> String {
+    format!("{:.1} %", fraction * 100.0)
 }
