--- a/crates/bendhinge_explain/src/args.rs
+++ b/crates/bendhinge_explain/src/args.rs
@@ -1,18 +1,18 @@
-//! The command line.
+//! Command-line arguments.
 
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
 
-/// Tells a request's story from the gateways' logs: each send, what its gateway believed around
-/// it, what the result code means, and how its upstreams served others.
+/// Explains the handling of a request from the gateways' logs: each send, the gateway's state
+/// changes around it, the meaning of the result code, and how its upstreams served other requests.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub(crate) struct Args {
-    /// The request's number
+    /// ID of the request
     #[bpaf(positional("REQUEST"))]
     pub(crate) request: String,
-    /// Logs, each named for its gateway or with the gateway's name before each line
-    #[bpaf(positional("LOG"), some("name at least one log"))]
+    /// Log files, each named after its gateway or with the gateway's name before each line
+    #[bpaf(positional("LOG"), some("at least one log file is required"))]
     pub(crate) logs: Vec<PathBuf>,
 }
--- a/crates/bendhinge_explain/src/lib.rs
+++ b/crates/bendhinge_explain/src/lib.rs
@@ -1,13 +1,15 @@
-//! One request's story from the logs of all gateways.
+//! Reports on single requests, compiled from the logs of all gateways.
 //!
-//! * [`read_log`] reads the lines of a gateway's log,
-//! * [`stories`] finds what a request met, and what its gateway believed just then,
-//! * [`tell`] writes it down.
+//! * [`read_log`] parses a gateway's log,
+//! * [`request_reports`] collects the events related to a request,
+//! * [`render`] formats a report as text.
 
-mod line;
-mod story;
-mod tell;
+mod log_entry;
+mod render;
+mod report;
 
-pub use line::{Entry, Event, Send, read_log};
-pub use story::{Backdrop, CrashRecord, SameRequest, Story, UpstreamRecord, stories};
-pub use tell::tell;
+pub use log_entry::{Entry, Event, SendAttempt, read_log};
+pub use render::render;
+pub use report::{
+    CrashRecord, NearbyEvent, RelatedAttempts, RequestReport, UpstreamSummary, request_reports,
+};
--- /dev/null
+++ b/crates/bendhinge_explain/src/log_entry.rs
@@ -0,0 +1,132 @@
+//! Parsing of the gateway log lines that concern requests and the gateway's state.
+
+use serde::Deserialize;
+
+/// An attempt to send a request to an upstream.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+pub struct SendAttempt {
+    /// Name of the upstream.
+    pub upstream: String,
+    /// Reason for choosing this upstream.
+    pub why: String,
+    /// Estimated number of requests at the upstream.
+    pub load: f32,
+    /// Time of the send, in milliseconds since the request's arrival.
+    pub at_ms: u64,
+    /// How the send ended, unless its answer was forwarded to the caller.
+    pub end: Option<String>,
+}
+
+/// Event recorded by a log line.
+#[derive(Clone, Debug, PartialEq, Deserialize)]
+#[serde(tag = "event", rename_all = "snake_case")]
+pub enum Event {
+    /// A completed request that was sent to at least one upstream.
+    Request {
+        /// ID of the request.
+        request: String,
+        /// Route that the request matched.
+        route: String,
+        /// Final outcome of the request.
+        outcome: String,
+        /// HTTP status returned to the caller.
+        status: u16,
+        /// Result code of the gateway, if the gateway produced the answer itself.
+        code: Option<String>,
+        /// Total duration, in milliseconds.
+        ms: u64,
+        /// Send attempts, in order.
+        sends: Vec<SendAttempt>,
+        /// Whether an upstream executed the request.
+        ran: String,
+        /// Digest shared by all attempts of the same request; set if a connection was lost while
+        /// this attempt was in progress.
+        digest: Option<String>,
+    },
+    /// A request that was rejected without being sent.
+    Refused {
+        /// ID of the request.
+        request: String,
+        /// Result code of the rejection.
+        code: String,
+        /// Time since the rules were last confirmed to be current, in milliseconds.
+        rules_age_ms: Option<u64>,
+        /// Digest shared by all attempts of the same request; set if this attempt was rejected
+        /// because of earlier ones.
+        digest: Option<String>,
+    },
+    /// An upstream crashed while processing a request.
+    Crash {
+        /// ID of the request.
+        request: String,
+        /// Digest shared by all attempts of the same request.
+        digest: String,
+        /// Name of the upstream.
+        upstream: String,
+    },
+    /// A new revision of the rules or the upstreams was received.
+    Belief {
+        /// Which of the two changed.
+        what: String,
+        /// Revision in the store.
+        revision: u64,
+        /// Source of the update.
+        from: String,
+    },
+    /// A dependency of the gateway became unavailable or available again.
+    Dependency {
+        /// Name of the dependency.
+        what: String,
+        /// Whether the dependency is available.
+        there: bool,
+        /// Reason for the unavailability.
+        detail: String,
+    },
+    /// The gateway backs off from an upstream.
+    UpstreamRests {
+        /// Name of the upstream.
+        upstream: String,
+        /// How the last send to the upstream ended.
+        end: String,
+    },
+    /// Log lines were dropped.
+    LinesDropped {
+        /// Number of dropped lines.
+        dropped: u64,
+    },
+    /// Any other event.
+    #[serde(other)]
+    Other,
+}
+
+/// Event with its gateway and time.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Entry {
+    /// Name of the gateway that logged the event.
+    pub gateway: String,
+    /// Time of the event, in milliseconds of the clock of the gateway's box.
+    pub time_ms: u64,
+    /// The logged event.
+    pub event: Event,
+}
+
+#[derive(Deserialize)]
+struct LogLine {
+    t: u64,
+    #[serde(flatten)]
+    event: Event,
+}
+
+/// Parses the lines of a log and skips malformed ones. If a line has text before its JSON, the
+/// last word of that text names the gateway; otherwise `gateway` does.
+#[must_use]
+pub fn read_log(gateway: &str, text: &str) -> Vec<Entry> {
+    text.lines().filter_map(|line| parse_line(gateway, line)).collect()
+}
+
+fn parse_line(gateway: &str, line: &str) -> Option<Entry> {
+    let (prefix, json) = line.split_at(line.find('{')?);
+    let LogLine { t, event } = serde_json::from_str(json).ok()?;
+    let gateway = prefix.split_whitespace().next_back().unwrap_or(gateway);
+    Some(Entry { gateway: gateway.to_owned(), time_ms: t, event })
+}
--- a/crates/bendhinge_explain/src/main.rs
+++ b/crates/bendhinge_explain/src/main.rs
@@ -1,4 +1,4 @@
-//! The program that tells a request's story.
+//! Command-line program that explains how a request was handled.
 
 mod args;
 
@@ -6,7 +6,7 @@
 use std::process::Termination as _;
 
 use bendhinge_codes::ExitStatus;
-use bendhinge_explain::{Entry, read_log, stories, tell};
+use bendhinge_explain::{Entry, read_log, render, request_reports};
 
 use crate::args::Args;
 
@@ -18,20 +18,20 @@
     let mut entries: Vec<Entry> = Vec::new();
     for log in &args.logs {
         match std::fs::read_to_string(log) {
-            Ok(text) => entries.extend(read_log(gateway_of(log), &text)),
+            Ok(text) => entries.extend(read_log(gateway_name(log), &text)),
             Err(error) => {
                 eprintln!("bendhinge-explain: {}: {error}", log.display());
                 return ExitStatus::Usage;
             }
         }
     }
-    let stories = stories(&entries, &args.request);
-    for story in &stories {
-        print!("{}", tell(story));
+    let reports = request_reports(&entries, &args.request);
+    for report in &reports {
+        print!("{}", render(report));
     }
-    if stories.is_empty() {
+    if reports.is_empty() {
         eprintln!(
-            "bendhinge-explain: no line of {} tells of it; each try of a caller has a number of its own",
+            "bendhinge-explain: no log line reports request {}; each attempt of a caller has its own ID",
             args.request
         );
         return ExitStatus::Failure;
@@ -39,7 +39,7 @@
     ExitStatus::Success
 }
 
-/// A log is named for its gateway.
-fn gateway_of(log: &Path) -> &str {
+/// Derives the gateway's name from the name of its log file.
+fn gateway_name(log: &Path) -> &str {
     log.file_stem().and_then(|name| name.to_str()).unwrap_or("unknown")
 }
--- a/crates/bendhinge_explain/src/tell.rs
+++ b/crates/bendhinge_explain/src/render.rs
@@ -1,23 +1,23 @@
-//! Writing a request's story down.
+//! Plain-text rendering of request reports.
 
 use std::fmt::Write as _;
 
 use bendhinge_codes::ResultCode;
 
-use crate::{Backdrop, CrashRecord, Event, SameRequest, Send, Story, UpstreamRecord};
+use crate::{CrashRecord, Event, NearbyEvent, RelatedAttempts, RequestReport, SendAttempt, UpstreamSummary};
 
-/// The story as text of several lines.
+/// Formats a report as multi-line text.
 #[must_use]
-pub fn tell(story: &Story) -> String {
+pub fn render(report: &RequestReport) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
-    let _ = write_story(&mut text, story);
+    // Writing to a String cannot fail.
+    let _ = write_report(&mut text, report);
     text
 }
 
-fn write_story(text: &mut String, story: &Story) -> std::fmt::Result {
-    let gateway = &story.entry.gateway;
-    match &story.entry.event {
+fn write_report(text: &mut String, report: &RequestReport) -> std::fmt::Result {
+    let gateway = &report.entry.gateway;
+    match &report.entry.event {
         Event::Request { request, route, outcome, status, code, ms, sends, ran, .. } => {
             writeln!(
                 text,
@@ -36,16 +36,16 @@
         }
         _ => {}
     }
-    story.backdrop.iter().try_for_each(|backdrop| write_backdrop(text, backdrop))?;
-    story.upstreams.iter().try_for_each(|record| write_record(text, record))?;
-    story.same.iter().try_for_each(|same| write_same(text, same))
+    report.nearby_events.iter().try_for_each(|nearby| write_nearby_event(text, nearby))?;
+    report.upstreams.iter().try_for_each(|summary| write_upstream_summary(text, summary))?;
+    report.related_attempts.iter().try_for_each(|related| write_related_attempts(text, related))
 }
 
-fn write_same(text: &mut String, same: &SameRequest) -> std::fmt::Result {
-    let SameRequest { digest, crashes, refused } = same;
+fn write_related_attempts(text: &mut String, related: &RelatedAttempts) -> std::fmt::Result {
+    let RelatedAttempts { digest, crashes, refused_count } = related;
     writeln!(
         text,
-        "  the same request, {digest}: {} upstreams crashed, {refused} tries refused",
+        "  the same request, {digest}: {} upstreams crashed, {refused_count} tries refused",
         crashes.len()
     )?;
     crashes.iter().try_for_each(|crash| {
@@ -54,8 +54,8 @@
     })
 }
 
-fn write_send(text: &mut String, send: &Send) -> std::fmt::Result {
-    let Send { upstream, why, load, at_ms, end } = send;
+fn write_send(text: &mut String, send: &SendAttempt) -> std::fmt::Result {
+    let SendAttempt { upstream, why, load, at_ms, end } = send;
     let end = end.as_deref().unwrap_or("answered");
     writeln!(text, "  {at_ms:>6} ms  sent to {upstream} ({why}, {load:.1} requests believed there): {end}")
 }
@@ -68,9 +68,9 @@
     }
 }
 
-fn write_backdrop(text: &mut String, backdrop: &Backdrop) -> std::fmt::Result {
-    let at = backdrop.after_ms;
-    match &backdrop.event {
+fn write_nearby_event(text: &mut String, nearby: &NearbyEvent) -> std::fmt::Result {
+    let at = nearby.offset_ms;
+    match &nearby.event {
         Event::Belief { what, revision, from } => {
             writeln!(text, "  {at:>+6} ms  {what} of revision {revision}, from {from}")
         }
@@ -81,11 +81,11 @@
     }
 }
 
-fn write_record(text: &mut String, record: &UpstreamRecord) -> std::fmt::Result {
-    let UpstreamRecord { name, sends, ends, rests } = record;
-    write!(text, "  {name} in all logs: {sends} sends")?;
-    for (end, times) in ends {
-        write!(text, ", {times} {end}")?;
+fn write_upstream_summary(text: &mut String, summary: &UpstreamSummary) -> std::fmt::Result {
+    let UpstreamSummary { name, send_count, end_counts, backoff_count } = summary;
+    write!(text, "  {name} in all logs: {send_count} sends")?;
+    for (end, count) in end_counts {
+        write!(text, ", {count} {end}")?;
     }
-    writeln!(text, "; spared {rests} times")
+    writeln!(text, "; spared {backoff_count} times")
 }
--- /dev/null
+++ b/crates/bendhinge_explain/tests/report.rs
@@ -0,0 +1,84 @@
+//! Reports on requests from recorded gateway logs.
+
+use std::fs;
+use std::path::Path;
+
+use bendhinge_explain::{Entry, Event, read_log, render, request_reports};
+
+/// Reads one log with the gateway's name before each line and one that is named after its gateway.
+fn log_entries() -> Vec<Entry> {
+    let fixtures = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures");
+    let read = |name: &str| {
+        let text = fs::read_to_string(fixtures.join(format!("{name}.jsonl"))).unwrap();
+        read_log(name, &text)
+    };
+    [read("all-boxes"), read("front-oslo-d-14")].concat()
+}
+
+/// Renders the report of a request that has exactly one log entry.
+fn rendered_report(request: &str) -> String {
+    let reports = request_reports(&log_entries(), request);
+    assert_eq!(reports.len(), 1, "{reports:?}");
+    render(&reports[0])
+}
+
+#[test]
+fn request_with_unknown_outcome() {
+    insta::assert_snapshot!(rendered_report("2706d6216c6c45d5"));
+}
+
+#[test]
+fn refused_request() {
+    insta::assert_snapshot!(rendered_report("0b5270e9f7615fe3"));
+}
+
+#[test]
+fn retried_request() {
+    insta::assert_snapshot!(rendered_report("00461f9e07aec994"));
+}
+
+#[test]
+fn unknown_request_has_no_report() {
+    assert!(request_reports(&log_entries(), "0000000000000000").is_empty());
+}
+
+#[test]
+fn malformed_lines_are_skipped() {
+    let text = "half a line {\"t\":1,\"event\":\"requ\n{\"t\":2,\"event\":\"stopped\",\"name\":\"a\"}\n{}\n";
+    let entries = read_log("a", text);
+    assert_eq!(entries, [Entry { gateway: "a".to_owned(), time_ms: 2, event: Event::Other }]);
+}
+
+/// Guards against examples in the operations page that differ from the program's output.
+#[test]
+fn operations_page_shows_rendered_reports() {
+    let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/OPERATIONS.md");
+    let page = fs::read_to_string(page).unwrap();
+    for request in ["2706d6216c6c45d5", "0b5270e9f7615fe3", "00461f9e07aec994"] {
+        for line in rendered_report(request).lines() {
+            assert!(page.contains(&format!("    {line}\n")), "docs/OPERATIONS.md does not contain: {line}");
+        }
+    }
+}
+
+/// The report of one attempt lists crashes during other attempts of the same request, at any gateway.
+#[test]
+fn request_that_crashed_upstreams() {
+    let digest = "0f1e2d3c4b5a69788796a5b4c3d2e1f0";
+    let crash = |t: u64, request: &str, upstream: &str| {
+        format!(
+            r#"{{"t":{t},"event":"crash","request":"{request}","digest":"{digest}","upstream":"{upstream}","crashes":1}}"#
+        )
+    };
+    let refused = format!(
+        r#"{{"t":9000,"event":"refused","request":"d4","code":"BH0310","digest":"{digest}","rules_age_ms":12,"retry_after_ms":599000}}"#
+    );
+    let entries = [
+        read_log("box-1", &[crash(1_000, "a1", "i-1"), crash(5_000, "c3", "i-3")].join("\n")),
+        read_log("box-2", &[crash(3_000, "b2", "i-2"), refused].join("\n")),
+    ]
+    .concat();
+    let reports = request_reports(&entries, "d4");
+    assert_eq!(reports.len(), 1);
+    insta::assert_snapshot!(render(&reports[0]));
+}
