--- a/crates/bendhinge_configuration/src/parse.rs
+++ b/crates/bendhinge_configuration/src/parse.rs
@@ -92,11 +92,11 @@
 
     fn class(&self, section: &Section) -> Option<Class> {
         const HIGHEST: u8 = 9;
-        let share = self.document.ratio(section, "share");
+        let share = self.document.positive_number(section, "share");
         let engine_priority = self.document.value::<u8>(section, "engine_priority")?;
         if engine_priority > HIGHEST {
             let message = format!("'engine_priority = {engine_priority}': write 0 to {HIGHEST}");
-            self.document.fault_at(section, "engine_priority", ResultCode::InvalidValue, message);
+            self.document.add_fault_at(section, "engine_priority", ResultCode::InvalidValue, message);
         }
         Some(Class { share: share?, engine_priority })
     }
@@ -108,11 +108,11 @@
             if let Some(class) = class.as_ref().filter(|class| !classes.contains_key(*class)) {
                 let message =
                     format!("class '{class}' is not defined; add [class.{class}] or correct the name");
-                document.fault_at(section, "class", ResultCode::UnknownReference, message);
+                document.add_fault_at(section, "class", ResultCode::UnknownReference, message);
             }
             let _key: Option<KeyHash> = document.value(section, "key_sha256");
             let in_progress = document.value(section, "in_progress");
-            let share = document.ratio(section, "share");
+            let share = document.positive_number(section, "share");
             Some(Customer { class: class?, in_progress: in_progress?, share: share? })
         })
     }
@@ -124,7 +124,7 @@
             let (Some(key), Ok(name)) = (key, section.name.parse::<CustomerName>()) else { continue };
             if let Some(other) = by_key.insert(key, name) {
                 let message = format!("customer '{other}' has the same key; give each its own");
-                self.document.fault_at(section, "key_sha256", ResultCode::RepeatedKey, message);
+                self.document.add_fault_at(section, "key_sha256", ResultCode::RepeatedKey, message);
             }
         }
         by_key
@@ -132,10 +132,10 @@
 
     fn pool(&self, section: &Section) -> Option<Pool> {
         let kind = self.pool_kind(section);
-        let load_bound = self.document.ratio(section, "load_bound")?;
+        let load_bound = self.document.positive_number(section, "load_bound")?;
         if load_bound <= 1.0 {
             let message = format!("'load_bound = {load_bound}': write a number above 1");
-            self.document.fault_at(section, "load_bound", ResultCode::InvalidValue, message);
+            self.document.add_fault_at(section, "load_bound", ResultCode::InvalidValue, message);
         }
         let slots = self.document.value::<std::num::NonZeroU32>(section, "slots")?;
         let turn = self.document.millis(section, "turn_ms")?;
@@ -157,7 +157,7 @@
             "service" => self.service_path(section),
             other => {
                 let message = format!("'kind = {other}': write model or service");
-                self.document.fault_at(section, "kind", ResultCode::InvalidValue, message);
+                self.document.add_fault_at(section, "kind", ResultCode::InvalidValue, message);
                 None
             }
         }
@@ -169,7 +169,7 @@
         if !path.starts_with('/') || taken || path.contains(['?', '#', ' ']) {
             let message =
                 format!("'path = {path}': write a path such as /portal, other than / and below /v1");
-            self.document.fault_at(section, "path", ResultCode::InvalidValue, message);
+            self.document.add_fault_at(section, "path", ResultCode::InvalidValue, message);
             return None;
         }
         Some(PoolKind::Service { path: path.to_owned() })
--- a/crates/bendhinge_gateway/src/native/rules.rs
+++ b/crates/bendhinge_gateway/src/native/rules.rs
@@ -234,7 +234,7 @@
             return Some(path);
         }
         let message = format!("'path = {path}' does not begin and end with a slash; write /{path}/");
-        self.0.fault_at(section, "path", ResultCode::InvalidValue, message);
+        self.0.add_fault_at(section, "path", ResultCode::InvalidValue, message);
         None
     }
 }
--- a/crates/bendhinge_gateway/src/settings/mod.rs
+++ b/crates/bendhinge_gateway/src/settings/mod.rs
@@ -201,7 +201,7 @@
         let ready = self.0.value(gateway, "ready");
         let peers = self.0.value(gateway, "peers");
         let connections = self.0.value(gateway, "connections");
-        let link = self.0.ratio(gateway, "link_mbps");
+        let link = self.0.positive_number(gateway, "link_mbps");
         Some(Settings {
             name: name?,
             data_centre: data_centre?,
@@ -286,7 +286,7 @@
         let rest = self.0.millis(section, "rest_ms");
         let longest_rest = self.0.millis(section, "longest_rest_ms");
         let doubt = self.0.millis(section, "doubt_ms");
-        let load_bound = self.0.ratio(section, "load_bound");
+        let load_bound = self.0.positive_number(section, "load_bound");
         let leaving = self.0.millis(section, "leaving_ms");
         #[expect(clippy::cast_possible_truncation, reason = "a small number")]
         Some(UpstreamSettings {
@@ -301,8 +301,8 @@
     }
 
     fn retries(&self, section: &Section) -> Option<FleetRetryBudget> {
-        let ratio = self.0.amount(section, "ratio");
-        let slack = self.0.amount(section, "slack");
+        let ratio = self.0.non_negative_number(section, "ratio");
+        let slack = self.0.non_negative_number(section, "slack");
         let span = self.0.seconds(section, "span_s");
         Some(FleetRetryBudget { ratio: ratio?, base_retries: slack?, window: span? })
     }
--- a/crates/bendhinge_ini/src/document.rs
+++ b/crates/bendhinge_ini/src/document.rs
@@ -1,4 +1,4 @@
-//! Reading a document and taking typed values from it.
+//! Parsing of INI documents and typed access to their values.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashSet};
@@ -11,8 +11,8 @@
 use ini_core::{Item, Parser};
 
 use crate::fault::{Fault, Faults};
-use crate::schema::{Key, Schema, SectionKind, nearest};
-use crate::values::{Amount, ByteCount, Millis, Ratio};
+use crate::schema::{Key, Schema, SectionKind, closest_name};
+use crate::values::{ByteCount, Millis, NonNegativeNumber, PositiveNumber};
 
 #[derive(Debug)]
 struct Entry {
@@ -25,30 +25,30 @@
 #[derive(Debug)]
 pub struct Section {
     kind: &'static SectionKind,
-    /// The part of the title after the dot; empty where the kind has no name.
+    /// Part of the title after the dot; empty if the kind takes no name.
     pub name: String,
-    /// The line of its title.
+    /// Line number of the title.
     pub line: u32,
     entries: Vec<Entry>,
 }
 
 impl Section {
-    /// The title as written.
+    /// Returns the title as written in the file, without brackets.
     #[must_use]
     pub fn title(&self) -> String {
         if self.kind.named { format!("{}.{}", self.kind.kind, self.name) } else { self.kind.kind.to_owned() }
     }
 
-    fn is_titled(&self, title: &str) -> bool {
+    fn has_title(&self, title: &str) -> bool {
         let (kind, name) = title.split_once('.').unwrap_or((title, ""));
         self.kind.kind == kind && self.name == name
     }
 
-    /// The value of `key` as text, or its default; `None` if neither is there.
+    /// Returns the value of `key` as text, or its default; `None` if it has neither.
     #[must_use]
     pub fn text(&self, key: &str) -> Option<&str> {
-        let written = self.entries.iter().find(|entry| entry.key.name == key);
-        match written {
+        let found = self.entries.iter().find(|entry| entry.key.name == key);
+        match found {
             Some(entry) => Some(entry.value.as_str()),
             None => self.kind.key(key).and_then(|key| key.default),
         }
@@ -65,33 +65,32 @@
     }
 
     fn line_of(&self, key: &str) -> u32 {
-        let written = self.entries.iter().find(|entry| entry.key.name == key);
-        written.map_or(self.line, |entry| entry.line)
+        let found = self.entries.iter().find(|entry| entry.key.name == key);
+        found.map_or(self.line, |entry| entry.line)
     }
 }
 
-/// Reads the file at `path` and has `parse` check it, which is given the file's name for faults
-/// and its text.
+/// Reads the file at `path` and calls `parse` with the file's name, for faults, and its text.
 pub fn read_file<T>(path: &Path, parse: impl FnOnce(&str, &str) -> Result<T, Faults>) -> Result<T, Faults> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|error| Faults::unreadable(&file, &error))?;
     parse(&file, &text)
 }
 
-/// A document whose sections and keys are those of its schema.
+/// A parsed document, with the faults found so far.
 ///
-/// Values are checked as they are taken; call [`Document::finish`] when all have been taken.
+/// Values are validated when they are read; call [`Document::finish`] after reading all of them.
 #[derive(Debug)]
 pub struct Document {
     file: String,
     sections: Vec<Section>,
-    /// Titles of the sections, for finding repeated ones among thousands.
+    /// Titles of the sections, for detecting duplicates in constant time.
     titles: HashSet<String>,
     faults: RefCell<Vec<Fault>>,
 }
 
 impl Document {
-    /// Reads `text`, noting every line that the schema does not allow.
+    /// Parses `text` and records a fault for each line that the schema does not allow.
     #[must_use]
     pub fn parse(file: &str, text: &str, schema: &Schema) -> Self {
         let mut document = Self {
@@ -101,22 +100,22 @@
             faults: RefCell::new(Vec::new()),
         };
         let mut parser = Parser::new(text).auto_trim(true);
-        let mut skipping = true;
+        let mut skip_properties = true;
         while let Some(item) = parser.next() {
-            // The parser's line counts from 0 and already stands on the next line.
+            // The parser counts lines from 0 and has already advanced to the next line.
             let line = parser.line();
             match item {
-                Item::Section(title) => skipping = !document.open_section(schema, title, line),
-                Item::Property(key, value) if !skipping => document.add_entry(key, value, line),
+                Item::Section(title) => skip_properties = !document.open_section(schema, title, line),
+                Item::Property(key, value) if !skip_properties => document.add_entry(key, value, line),
                 Item::Property(key, _) if document.sections.is_empty() => {
-                    document.fault(
+                    document.add_fault(
                         line,
                         ResultCode::InvalidLine,
-                        format!("'{key}' stands before any section"),
+                        format!("'{key}' appears before the first section"),
                     );
                 }
                 Item::Error(text) => {
-                    document.fault(
+                    document.add_fault(
                         line,
                         ResultCode::InvalidLine,
                         format!("'{text}' is not a section title; write [section]"),
@@ -130,7 +129,7 @@
         document
     }
 
-    /// Adds each section that may be left out because all its keys have defaults.
+    /// Adds each absent unnamed section whose keys all have defaults.
     fn add_default_sections(&mut self, schema: &Schema) {
         for kind in schema.sections.iter().filter(|kind| !kind.named) {
             let optional = kind.keys.iter().all(|key| key.default.is_some());
@@ -143,17 +142,17 @@
     fn open_section(&mut self, schema: &Schema, title: &str, line: u32) -> bool {
         let (kind_name, name) = title.split_once('.').unwrap_or((title, ""));
         let Some(kind) = schema.kind(kind_name) else {
-            let hint = suggestion(nearest(kind_name, schema.sections.iter().map(|kind| kind.kind)));
-            self.fault(line, ResultCode::UnknownSection, format!("unknown section [{title}]{hint}"));
+            let hint = suggestion(closest_name(kind_name, schema.sections.iter().map(|kind| kind.kind)));
+            self.add_fault(line, ResultCode::UnknownSection, format!("unknown section [{title}]{hint}"));
             return false;
         };
         if kind.named == name.is_empty() {
             let form = if kind.named { format!("[{kind_name}.NAME]") } else { format!("[{kind_name}]") };
-            self.fault(line, ResultCode::UnknownSection, format!("[{title}] should be {form}"));
+            self.add_fault(line, ResultCode::UnknownSection, format!("[{title}] should be {form}"));
             return false;
         }
         if !self.titles.insert(title.to_owned()) {
-            self.fault(line, ResultCode::RepeatedKey, format!("[{title}] stands twice; join the two"));
+            self.add_fault(line, ResultCode::RepeatedKey, format!("[{title}] appears twice; merge them"));
         }
         self.sections.push(Section { kind, name: name.to_owned(), line, entries: Vec::new() });
         true
@@ -163,12 +162,12 @@
         let Some(section) = self.sections.last_mut() else { return };
         let title = section.title();
         let Some(key) = section.kind.key(name) else {
-            let hint = suggestion(nearest(name, section.kind.keys.iter().map(|key| key.name)));
-            self.fault(line, ResultCode::UnknownKey, format!("unknown key '{name}' in [{title}]{hint}"));
+            let hint = suggestion(closest_name(name, section.kind.keys.iter().map(|key| key.name)));
+            self.add_fault(line, ResultCode::UnknownKey, format!("unknown key '{name}' in [{title}]{hint}"));
             return;
         };
         let Some(value) = value else {
-            self.fault(
+            self.add_fault(
                 line,
                 ResultCode::InvalidLine,
                 format!("'{name}' has no value; write {name} = {}", key.form),
@@ -176,10 +175,10 @@
             return;
         };
         if section.entries.iter().any(|entry| entry.key.name == name) {
-            self.fault(
+            self.add_fault(
                 line,
                 ResultCode::RepeatedKey,
-                format!("'{name}' stands twice in [{title}]; keep one"),
+                format!("'{name}' is set twice in [{title}]; keep one"),
             );
             return;
         }
@@ -190,7 +189,11 @@
         for kind in schema.sections.iter().filter(|kind| kind.required) {
             if !self.sections.iter().any(|section| section.kind.kind == kind.kind) {
                 let form = if kind.named { ".NAME" } else { "" };
-                self.fault(0, ResultCode::MissingKey, format!("section [{}{form}] is missing", kind.kind));
+                self.add_fault(
+                    0,
+                    ResultCode::MissingKey,
+                    format!("section [{}{form}] is missing", kind.kind),
+                );
             }
         }
         for section in &self.sections {
@@ -203,39 +206,40 @@
                         key.name,
                         key.form
                     );
-                    self.fault(section.line, ResultCode::MissingKey, message);
+                    self.add_fault(section.line, ResultCode::MissingKey, message);
                 }
             }
         }
     }
 
-    fn fault(&self, line: u32, code: ResultCode, message: String) {
+    fn add_fault(&self, line: u32, code: ResultCode, message: String) {
         self.faults.borrow_mut().push(Fault { file: self.file.clone(), line, code, message });
     }
 
-    /// Notes a fault at the line of `key`, for checks that a single value cannot make.
-    pub fn fault_at(&self, section: &Section, key: &str, code: ResultCode, message: String) {
-        self.fault(section.line_of(key), code, message);
+    /// Records a fault at the line of `key`, for checks beyond the parsing of a single value.
+    pub fn add_fault_at(&self, section: &Section, key: &str, code: ResultCode, message: String) {
+        self.add_fault(section.line_of(key), code, message);
     }
 
-    /// The sections of a kind, in the order of the file.
+    /// Returns the sections of a kind, in file order.
     pub fn sections<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a Section> {
         self.sections.iter().filter(move |section| section.kind.kind == kind)
     }
 
-    /// The one section of a kind without a name.
+    /// Returns the section of a kind that takes no name.
     #[must_use]
     pub fn section(&self, kind: &str) -> Option<&Section> {
         self.sections.iter().find(|section| section.kind.kind == kind)
     }
 
-    /// The section's name as a typed name.
+    /// Parses the section's name; an invalid name is recorded as a fault.
     pub fn name<T: FromStr<Err: Display>>(&self, section: &Section) -> Option<T> {
         let parsed = section.name.parse::<T>();
-        parsed.map_err(|error| self.fault(section.line, ResultCode::InvalidValue, error.to_string())).ok()
+        parsed.map_err(|error| self.add_fault(section.line, ResultCode::InvalidValue, error.to_string())).ok()
     }
 
-    /// The value of `key`, typed. A missing required key was noted when the document was read.
+    /// Parses the value of `key`; an invalid value is recorded as a fault. Missing required keys are
+    /// recorded by [`Document::parse`].
     pub fn value<T: FromStr<Err: Display>>(&self, section: &Section, key: &str) -> Option<T> {
         let text = section.text(key)?;
         let parsed = text.parse::<T>();
@@ -243,59 +247,60 @@
             .map_err(|error| {
                 let form = section.kind.key(key).map_or("another value", |key| key.form);
                 let message = format!("'{key} = {text}' in [{}]: {error}; write {form}", section.title());
-                self.fault(section.line_of(key), ResultCode::InvalidValue, message);
+                self.add_fault(section.line_of(key), ResultCode::InvalidValue, message);
             })
             .ok()
     }
 
-    /// The value of an optional key whose default is empty.
+    /// Parses the value of an optional key; an empty value gives `None`.
     pub fn optional<T: FromStr<Err: Display>>(&self, section: &Section, key: &str) -> Option<T> {
         if section.text(key).is_none_or(str::is_empty) { None } else { self.value(section, key) }
     }
 
-    /// The value of a key that holds a span in milliseconds.
+    /// Parses a duration in milliseconds.
     pub fn millis(&self, section: &Section, key: &str) -> Option<Duration> {
         self.value::<Millis>(section, key).map(|millis| millis.0)
     }
 
-    /// The value of a key that holds a span in seconds, as a positive decimal number.
+    /// Parses a duration in seconds, written as a positive decimal number.
     pub fn seconds(&self, section: &Section, key: &str) -> Option<Duration> {
-        self.ratio(section, key).map(Duration::from_secs_f64)
+        self.positive_number(section, key).map(Duration::from_secs_f64)
     }
 
-    /// The value of a key that holds a positive decimal number.
-    pub fn ratio(&self, section: &Section, key: &str) -> Option<f64> {
-        self.value::<Ratio>(section, key).map(|ratio| ratio.0)
+    /// Parses a positive decimal number.
+    pub fn positive_number(&self, section: &Section, key: &str) -> Option<f64> {
+        self.value::<PositiveNumber>(section, key).map(|number| number.0)
     }
 
-    /// The value of a key that holds a decimal number that may be zero.
-    pub fn amount(&self, section: &Section, key: &str) -> Option<f64> {
-        self.value::<Amount>(section, key).map(|amount| amount.0)
+    /// Parses a non-negative decimal number.
+    pub fn non_negative_number(&self, section: &Section, key: &str) -> Option<f64> {
+        self.value::<NonNegativeNumber>(section, key).map(|number| number.0)
     }
 
-    /// The value of a key that holds a size.
+    /// Parses a size in bytes.
     pub fn byte_count(&self, section: &Section, key: &str) -> Option<usize> {
         self.value::<ByteCount>(section, key).map(|bytes| bytes.0)
     }
 
-    /// The value of a key that holds a secret; one that is easily guessed is a fault.
+    /// Returns a secret; one that is too short is recorded as a fault.
     pub fn secret<'a>(&self, section: &'a Section, key: &str) -> Option<&'a str> {
-        const SHORTEST: usize = 16;
+        const MIN_LENGTH: usize = 16;
         let text = section.text(key)?;
-        if text.len() < SHORTEST {
-            let message = format!("'{key}' has fewer than {SHORTEST} characters; write a longer, random one");
-            self.fault_at(section, key, ResultCode::InvalidValue, message);
+        if text.len() < MIN_LENGTH {
+            let message =
+                format!("'{key}' has fewer than {MIN_LENGTH} characters; write a longer, random one");
+            self.add_fault_at(section, key, ResultCode::InvalidValue, message);
             return None;
         }
         Some(text)
     }
 
-    /// Sets `key` of the section titled `title`, adding the section if it is not there.
+    /// Sets `key` in the section titled `title`, adding the section if it does not exist.
     ///
-    /// Unknown titles and keys are noted as faults, with the line 0 of a change that stands in
-    /// no file.
+    /// Unknown titles and keys are recorded as faults at line 0, since the change has no line in the
+    /// file.
     pub fn set(&mut self, schema: &Schema, title: &str, key: &str, value: &str) {
-        let position = self.sections.iter().position(|section| section.is_titled(title));
+        let position = self.sections.iter().position(|section| section.has_title(title));
         if position.is_none() && !self.open_section(schema, title, 0) {
             return;
         }
@@ -306,16 +311,16 @@
         self.add_entry(key, Some(value), 0);
     }
 
-    /// Removes the section titled `title`; `false` if it is not there.
+    /// Removes the section titled `title`; returns `false` if it does not exist.
     pub fn remove(&mut self, title: &str) -> bool {
-        let before = self.sections.len();
-        self.sections.retain(|section| !section.is_titled(title));
+        let previous_count = self.sections.len();
+        self.sections.retain(|section| !section.has_title(title));
         self.titles.remove(title);
-        self.sections.len() < before
+        self.sections.len() < previous_count
     }
 
-    /// The document in its one canonical form: sections by kind and name, keys in the order of
-    /// the schema, only what was written, no comments.
+    /// Formats the document canonically: sections by kind and name, keys in schema order, without
+    /// defaults and comments.
     #[must_use]
     pub fn canonical(&self, schema: &Schema) -> String {
         let mut text = String::new();
@@ -329,7 +334,7 @@
         text
     }
 
-    /// Gives `value` if no fault was noted, else all the faults.
+    /// Returns `value` if no fault was recorded, and otherwise all faults without duplicates.
     pub fn finish<T>(self, value: Option<T>) -> Result<T, Faults> {
         let mut faults = self.faults.into_inner();
         faults.sort_by_key(|fault| fault.line);
@@ -342,6 +347,6 @@
     }
 }
 
-fn suggestion(near: Option<&str>) -> String {
-    near.map(|name| format!("; did you mean '{name}'?")).unwrap_or_default()
+fn suggestion(closest: Option<&str>) -> String {
+    closest.map(|name| format!("; did you mean '{name}'?")).unwrap_or_default()
 }
--- a/crates/bendhinge_ini/src/fault.rs
+++ b/crates/bendhinge_ini/src/fault.rs
@@ -1,19 +1,19 @@
-//! Faults found in a document.
+//! Errors found in a document.
 
 use std::fmt;
 
 use bendhinge_codes::ResultCode;
 
-/// One fault: where it is, which, and how to mend it.
+/// An error in a document, with its location, result code and fix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The file as named on the command line.
+    /// File name as given by the caller.
     pub file: String,
-    /// The line, from 1; 0 where the fault is that something is missing.
+    /// Line number, from 1; 0 if the fault has no line, such as a missing section.
     pub line: u32,
-    /// The result code.
+    /// Result code for the kind of fault.
     pub code: ResultCode,
-    /// What is wrong and how to mend it.
+    /// Description of the fault and how to fix it.
     pub message: String,
 }
 
@@ -23,12 +23,12 @@
     }
 }
 
-/// All faults of a document, in the order of their lines.
+/// All faults of a document, ordered by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// The one fault of a file that cannot be read.
+    /// Creates the fault for a file that cannot be read.
     #[must_use]
     pub fn unreadable(file: &str, error: &std::io::Error) -> Self {
         let message = format!("{error}; check the path and its permissions");
--- a/crates/bendhinge_ini/src/lib.rs
+++ b/crates/bendhinge_ini/src/lib.rs
@@ -1,8 +1,7 @@
-//! INI documents checked against a schema: every fault in one run, each with its file, line,
-//! key, result code and mend.
+//! Parsing and validation of INI documents against a schema. All faults of a document are reported
+//! at once, each with its file, line, result code and fix.
 //!
-//! The schema is data, so that the reference pages in `docs/` are generated from the same
-//! declaration that the check uses.
+//! The reference pages in `docs/` are generated from the same schemas that validate the documents.
 
 mod document;
 mod fault;
@@ -14,4 +13,4 @@
 pub use fault::{Fault, Faults};
 pub use reference::markdown_reference;
 pub use schema::{Key, Schema, SectionKind};
-pub use values::{Amount, ByteCount, Millis, Ratio};
+pub use values::{ByteCount, Millis, NonNegativeNumber, PositiveNumber};
--- a/crates/bendhinge_ini/src/reference.rs
+++ b/crates/bendhinge_ini/src/reference.rs
@@ -1,10 +1,10 @@
-//! Reference pages generated from schemas.
+//! Generation of reference pages from schemas.
 
 use std::fmt::Write as _;
 
 use crate::schema::Schema;
 
-/// Renders the reference of one kind of document.
+/// Renders the reference page of a schema as Markdown.
 #[must_use]
 pub fn markdown_reference(schema: &Schema) -> String {
     let mut page = format!("## {}\n", schema.title);
--- a/crates/bendhinge_ini/src/schema.rs
+++ b/crates/bendhinge_ini/src/schema.rs
@@ -1,20 +1,20 @@
-//! What sections and keys a document may have.
+//! Declaration of the sections and keys that a document may contain.
 
-/// One key of a section.
+/// Declaration of a key in a section.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
-    /// The key as written.
+    /// Name of the key.
     pub name: &'static str,
-    /// The form of its value, as shown to operators.
+    /// Description of the value's format, shown in faults and on the reference page.
     pub form: &'static str,
-    /// The value used where the key is absent; `None` makes the key required.
+    /// Value used if the key is absent; `None` makes the key required.
     pub default: Option<&'static str>,
-    /// What it sets, one sentence.
+    /// Description of the setting, in one sentence.
     pub help: &'static str,
 }
 
 impl Key {
-    /// A key with all that is said of it.
+    /// Creates a key declaration.
     #[must_use]
     pub const fn new(
         name: &'static str,
@@ -26,18 +26,18 @@
     }
 }
 
-/// One kind of section: `[kind]`, or `[kind.NAME]` where `named`.
+/// Declaration of a kind of section: `[kind]`, or `[kind.NAME]` if `named`.
 #[derive(Clone, Copy, Debug)]
 pub struct SectionKind {
-    /// The part of the title before the dot.
+    /// Part of the title before the dot.
     pub kind: &'static str,
-    /// Whether the title carries a name, so that the kind may stand several times.
+    /// Whether the title includes a name, which allows several sections of the kind.
     pub named: bool,
-    /// Whether at least one section of the kind must be there.
+    /// Whether the document must contain a section of this kind.
     pub required: bool,
-    /// What the section is for, one sentence.
+    /// Purpose of the section, in one sentence.
     pub help: &'static str,
-    /// Its keys.
+    /// Keys allowed in the section, in canonical order.
     pub keys: &'static [Key],
 }
 
@@ -47,12 +47,12 @@
     }
 }
 
-/// All that a document may hold.
+/// Declaration of a kind of document.
 #[derive(Clone, Copy, Debug)]
 pub struct Schema {
-    /// The document's title on the reference page.
+    /// Title of the reference page.
     pub title: &'static str,
-    /// Its kinds of section.
+    /// Kinds of section allowed in the document, in canonical order.
     pub sections: &'static [SectionKind],
 }
 
@@ -62,12 +62,12 @@
     }
 }
 
-/// The known name nearest to `wrong`, if one is near enough to be meant.
-pub(crate) fn nearest<'a>(wrong: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    const NEAR_ENOUGH: f64 = 0.7;
+/// Returns the known name that is most similar to `unknown`, if it is similar enough to suggest.
+pub(crate) fn closest_name<'a>(unknown: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+    const MIN_SIMILARITY: f64 = 0.7;
     known
-        .map(|name| (name, strsim::normalized_damerau_levenshtein(wrong, name)))
-        .filter(|(_, likeness)| *likeness >= NEAR_ENOUGH)
+        .map(|name| (name, strsim::normalized_damerau_levenshtein(unknown, name)))
+        .filter(|(_, similarity)| *similarity >= MIN_SIMILARITY)
         .max_by(|left, right| left.1.total_cmp(&right.1))
         .map(|(name, _)| name)
 }
--- a/crates/bendhinge_ini/tests/document.rs
+++ b/crates/bendhinge_ini/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents: reading, changing, and their canonical form.
+//! Parsing, modification and canonical form of documents.
 
 use bendhinge_ini::{Document, Key, Schema, SectionKind};
 
@@ -33,9 +33,9 @@
     document.finish(Some(())).err().map_or_else(String::new, |faults| faults.to_string())
 }
 
-/// Each fault has its place, its code and its mend.
+/// Each fault names its location, result code and fix.
 #[test]
-fn faults_name_the_place_and_the_mend() {
+fn faults_include_location_code_and_fix() {
     let table = [
         ("", "t.ini:0: BH0106: section [one] is missing"),
         ("[one]\n", "t.ini:1: BH0106: 'first' is missing in [one]; add first = whole number"),
@@ -47,12 +47,12 @@
             "[one]\nfirst = 1\nfrist = 2\n",
             "t.ini:3: BH0104: unknown key 'frist' in [one]; did you mean 'first'?",
         ),
-        ("[one]\nfirst = 1\nfirst = 2\n", "t.ini:3: BH0105: 'first' stands twice in [one]; keep one"),
-        ("[one]\nfirst = 1\n[one]\nfirst = 1\n", "t.ini:3: BH0105: [one] stands twice; join the two"),
+        ("[one]\nfirst = 1\nfirst = 2\n", "t.ini:3: BH0105: 'first' is set twice in [one]; keep one"),
+        ("[one]\nfirst = 1\n[one]\nfirst = 1\n", "t.ini:3: BH0105: [one] appears twice; merge them"),
         ("[one]\nfirst = 1\n[many]\n", "t.ini:3: BH0103: [many] should be [many.NAME]"),
         ("[one]\nfirst = 1\n[one.two]\n", "t.ini:3: BH0103: [one.two] should be [one]"),
         ("[one]\nfirst = 1\n[mnay.a]\n", "t.ini:3: BH0103: unknown section [mnay.a]; did you mean 'many'?"),
-        ("first = 1\n[one]\nfirst = 1\n", "t.ini:1: BH0102: 'first' stands before any section"),
+        ("first = 1\n[one]\nfirst = 1\n", "t.ini:1: BH0102: 'first' appears before the first section"),
     ];
     for (text, expected) in table {
         assert_eq!(faults(text), expected, "{text:?}");
@@ -60,15 +60,15 @@
 }
 
 #[test]
-fn the_canonical_form_does_not_depend_on_order_or_comments() {
-    let tidy =
+fn canonical_form_ignores_order_and_comments() {
+    let canonical =
         Document::parse("t", "[one]\nfirst = 1\n[many.a]\n[many.b]\nvalue = 2\n", &SCHEMA).canonical(&SCHEMA);
-    let untidy = "; hello\n[many.b]\n  value=2\n\n[one]\n\tfirst =1\n[many.a]\n";
-    assert_eq!(Document::parse("t", untidy, &SCHEMA).canonical(&SCHEMA), tidy);
+    let unordered = "; hello\n[many.b]\n  value=2\n\n[one]\n\tfirst =1\n[many.a]\n";
+    assert_eq!(Document::parse("t", unordered, &SCHEMA).canonical(&SCHEMA), canonical);
 }
 
 #[test]
-fn changes_are_checked_like_lines() {
+fn changes_are_validated_like_parsed_lines() {
     let mut document = Document::parse("t", "[one]\nfirst = 1\n", &SCHEMA);
     document.set(&SCHEMA, "many.new", "value", "3");
     document.set(&SCHEMA, "one", "first", "2");
@@ -81,10 +81,10 @@
     assert_eq!(faults, "t:0: BH0104: unknown key 'thrid' in [one]");
 }
 
-/// A document of many sections is read whole. That this takes a time which grows with them and
-/// not with their square is measured, not tested: `decision.open_configuration_ms`.
+/// Guards against sections lost from large documents. The benchmark `decision.open_configuration_ms`
+/// covers the parsing time.
 #[test]
-fn many_sections_are_read() {
+fn large_document_is_parsed_completely() {
     let mut text = "[one]\nfirst = 1\n".to_owned();
     for number in 0..20_000 {
         text.push_str("[many.n");
--- a/crates/bendhinge_router/src/settings/mod.rs
+++ b/crates/bendhinge_router/src/settings/mod.rs
@@ -203,7 +203,7 @@
         if head_bytes.is_some_and(|bytes| bytes < SMALLEST_HEAD) {
             let message =
                 format!("'head_bytes' is below {SMALLEST_HEAD}, the least that the HTTP library takes");
-            self.0.fault_at(section, "head_bytes", ResultCode::InvalidValue, message);
+            self.0.add_fault_at(section, "head_bytes", ResultCode::InvalidValue, message);
         }
         let body_bytes = self.0.byte_count(section, "body_bytes");
         let answer_bytes = self.0.byte_count(section, "answer_bytes");
