--- a/crates/bendhinge_gateway/src/settings/mod.rs
+++ b/crates/bendhinge_gateway/src/settings/mod.rs
@@ -202,7 +202,7 @@
         let readiness_address = self.0.value(gateway, "ready");
         let peer_address = self.0.value(gateway, "peers");
         let max_connections = self.0.value(gateway, "connections");
-        let link = self.0.ratio(gateway, "link_mbps");
+        let link = self.0.positive_number(gateway, "link_mbps");
         Some(Settings {
             name: name?,
             data_centre: data_centre?,
@@ -287,7 +287,7 @@
         let base_ejection = self.0.millis(section, "rest_ms");
         let max_ejection = self.0.millis(section, "longest_rest_ms");
         let removal_grace = self.0.millis(section, "doubt_ms");
-        let load_bound_factor = self.0.ratio(section, "load_bound");
+        let load_bound_factor = self.0.positive_number(section, "load_bound");
         let drain_deadline = self.0.millis(section, "leaving_ms");
         #[expect(clippy::cast_possible_truncation, reason = "f32 is precise enough for a factor")]
         Some(UpstreamSettings {
@@ -310,8 +310,8 @@
     }
 
     fn retry_budget(&self, section: &Section) -> Option<FleetRetryBudget> {
-        let ratio = self.0.amount(section, "ratio");
-        let base_retries = self.0.amount(section, "slack");
+        let ratio = self.0.non_negative_number(section, "ratio");
+        let base_retries = self.0.non_negative_number(section, "slack");
         let window = self.0.seconds(section, "span_s");
         Some(FleetRetryBudget { ratio: ratio?, base_retries: base_retries?, window: window? })
     }
