--- a/crates/bendhinge_membership/src/directory.rs
+++ b/crates/bendhinge_membership/src/directory.rs
@@ -1,4 +1,4 @@
-//! The members of the fleet as one router knows them.
+//! Holds the member list of the fleet and selects the routers that track upstream load.
 
 use std::time::Duration;
 
@@ -6,51 +6,52 @@
 
 use crate::{Exchange, Member, MemberList, MemberRole, MemberState};
 
-/// The silence after which a router counts for no upstream any more, in a fleet of `routers`.
+/// Returns how long a router may go without an update before it stops tracking upstream load,
+/// in a fleet of `routers`.
 ///
-/// An exchange tells of a fixed number of routers, so news of each comes the more rarely the
-/// more there are: with 36 routers a fixed three seconds took live ones for gone. A silent router
-/// stays the owner of idempotency keys: for those only the platform's list counts.
+/// An exchange carries a bounded number of summaries, so updates about each router become less
+/// frequent as the fleet grows. The timeout does not affect the ownership of idempotency keys,
+/// which depends only on the platform's list.
 #[must_use]
-pub fn suspect_after(routers: usize) -> Duration {
-    const BASE: Duration = Duration::from_secs(3);
-    const PER_ROUTER: Duration = Duration::from_millis(100);
-    BASE + PER_ROUTER * u32::try_from(routers).unwrap_or(u32::MAX)
+pub fn suspicion_timeout(routers: usize) -> Duration {
+    const BASE_TIMEOUT: Duration = Duration::from_secs(3);
+    const TIMEOUT_PER_ROUTER: Duration = Duration::from_millis(100);
+    BASE_TIMEOUT + TIMEOUT_PER_ROUTER * u32::try_from(routers).unwrap_or(u32::MAX)
 }
 
-/// The platform's latest list known here.
+/// The latest member list received from the platform or a peer.
 #[derive(Debug, Default)]
 pub struct Directory {
     list: MemberList,
-    known_since: Option<Instant>,
+    list_received_at: Option<Instant>,
 }
 
 impl Directory {
-    /// Takes in a list; `false` if it is not newer. A stale replica of the platform, or a peer
-    /// that is behind, can therefore take nothing back.
-    pub fn offer(&mut self, list: MemberList, now: Instant) -> bool {
-        let newer = self.known_since.is_none() || list.revision > self.list.revision;
-        if newer {
+    /// Replaces the list if `list` has a higher revision, and returns whether it did. Lists from
+    /// a stale platform replica or a lagging peer are ignored.
+    pub fn update(&mut self, list: MemberList, now: Instant) -> bool {
+        let is_newer = self.list_received_at.is_none() || list.revision > self.list.revision;
+        if is_newer {
             self.list = list;
-            self.known_since = Some(now);
+            self.list_received_at = Some(now);
         }
-        newer
+        is_newer
     }
 
-    /// The list.
+    /// The current list; empty until one has been received.
     #[must_use]
     pub const fn list(&self) -> &MemberList {
         &self.list
     }
 
-    /// Whether any list was heard yet.
+    /// Whether any list has been received.
     #[must_use]
-    pub const fn is_known(&self) -> bool {
-        self.known_since.is_some()
+    pub const fn has_list(&self) -> bool {
+        self.list_received_at.is_some()
     }
 
-    /// All listed routers, also those that are leaving or out of reach: the owners of
-    /// idempotency keys are found among these.
+    /// All listed routers, including leaving and unreachable ones. Owners of idempotency keys
+    /// are chosen from these.
     pub fn listed_routers(&self) -> impl Iterator<Item = (&BoxName, &Member)> {
         self.list.members.iter().filter_map(|member| match &member.role {
             MemberRole::Router { name } => Some((name, member)),
@@ -58,29 +59,30 @@
         })
     }
 
-    /// Listed routers that count for upstreams: not leaving by anybody's word, and heard of.
-    /// `own` is always heard of. A router that was never heard has the same time to speak as
-    /// one that fell silent, from when the list named it.
+    /// Listed routers that track upstream load: those that neither the list nor their own
+    /// summary marks as leaving and whose last update is within the suspicion timeout.
+    /// `own` never times out. For a router without any update the timeout starts when the
+    /// current list was received.
     #[must_use]
-    pub fn counting_routers(
+    pub fn load_tracking_routers(
         &self,
         own: &BoxName,
         own_leaving: bool,
         exchange: &Exchange,
         now: Instant,
     ) -> Vec<BoxName> {
-        let listed_for = self.known_since.map_or(Duration::ZERO, |since| now.since(since));
-        let suspect_after = suspect_after(self.listed_routers().count());
-        let counts = |name: &BoxName, member: &Member| {
+        let listed_for = self.list_received_at.map_or(Duration::ZERO, |received_at| now.since(received_at));
+        let suspicion_timeout = suspicion_timeout(self.listed_routers().count());
+        let is_tracking = |name: &BoxName, member: &Member| {
             if name == own {
                 return !own_leaving;
             }
-            let said_leaving = exchange.summary(name).is_some_and(|summary| summary.leaving);
-            let silence = exchange.silence(name, now).unwrap_or(listed_for);
-            member.state == MemberState::Live && !said_leaving && silence < suspect_after
+            let announced_leaving = exchange.summary(name).is_some_and(|summary| summary.leaving);
+            let elapsed = exchange.time_since_update(name, now).unwrap_or(listed_for);
+            member.state == MemberState::Live && !announced_leaving && elapsed < suspicion_timeout
         };
-        let counting = self.listed_routers().filter(|(name, member)| counts(name, member));
-        counting.map(|(name, _)| name.clone()).collect()
+        let tracking = self.listed_routers().filter(|(name, member)| is_tracking(name, member));
+        tracking.map(|(name, _)| name.clone()).collect()
     }
 
     /// Listed upstreams with their pools, names and weights.
--- a/crates/bendhinge_membership/src/freshness.rs
+++ b/crates/bendhinge_membership/src/freshness.rs
@@ -1,65 +1,65 @@
-//! Whether a router may trust what it believes: a process that was frozen must renew its view
-//! before it takes new work.
+//! Detects that the process was suspended, after which its view of the fleet is stale and has
+//! to be renewed before it accepts new work.
 
 use std::time::Duration;
 
 use bendhinge_ids::Instant;
 
-/// The times that freshness depends on.
+/// Time limits for [`Freshness`].
 #[derive(Clone, Copy, Debug)]
 pub struct FreshnessLimits {
-    /// A gap on the router's own clock longer than this means that it was frozen.
-    pub gap: Duration,
-    /// How long it tries to renew its view before it goes on with the old one. Without this, a
-    /// router that neither platform nor peer can be reached from would refuse for ever.
-    pub patience: Duration,
+    /// Longest time between two checks before the process is considered suspended.
+    pub max_gap: Duration,
+    /// How long the view may stay stale before the router continues with it. Without this limit
+    /// a router that can reach neither the platform nor a peer would refuse work forever.
+    pub renewal_timeout: Duration,
 }
 
-/// A watch over the router's own clock.
+/// Tracks whether the router's view of the fleet is fresh.
 ///
-/// The clock must go on while the process is stopped and while its box sleeps
+/// The clock must advance while the process is stopped and while its box is suspended
 /// (`CLOCK_BOOTTIME` on Linux).
 #[derive(Debug)]
 pub struct Freshness {
     limits: FreshnessLimits,
-    seen: Instant,
+    last_check: Instant,
     stale_since: Option<Instant>,
-    gaps: u64,
+    gap_count: u64,
 }
 
 impl Freshness {
-    /// A watch that begins fresh at `now`.
+    /// Creates a tracker that is fresh at `now`.
     #[must_use]
     pub const fn new(limits: FreshnessLimits, now: Instant) -> Self {
-        Self { limits, seen: now, stale_since: None, gaps: 0 }
+        Self { limits, last_check: now, stale_since: None, gap_count: 0 }
     }
 
-    /// Looks at the clock, before every piece of new work and at a short period besides;
-    /// `false` if the view must be renewed first.
-    pub fn observe(&mut self, now: Instant) -> bool {
-        if now.since(self.seen) > self.limits.gap {
+    /// Checks the clock and returns `false` if the view has to be renewed first. Call it
+    /// periodically and before accepting new work.
+    pub fn check(&mut self, now: Instant) -> bool {
+        if now.since(self.last_check) > self.limits.max_gap {
             self.stale_since = Some(now);
-            self.gaps += 1;
+            self.gap_count += 1;
         }
-        self.seen = self.seen.max(now);
-        let patience_over = |since| now.since(since) > self.limits.patience;
-        if self.stale_since.is_some_and(patience_over) {
+        self.last_check = self.last_check.max(now);
+        let renewal_timed_out = |since| now.since(since) > self.limits.renewal_timeout;
+        if self.stale_since.is_some_and(renewal_timed_out) {
             self.stale_since = None;
         }
         self.stale_since.is_none()
     }
 
-    /// Notes that the view was renewed by an exchange that began at `began`. One that began
-    /// before the gap says nothing about the time after.
-    pub fn renewed(&mut self, began: Instant) {
-        if self.stale_since.is_some_and(|since| began >= since) {
+    /// Marks the view as renewed by an exchange that started at `started_at`. An exchange that
+    /// started before the gap was detected is ignored.
+    pub fn mark_renewed(&mut self, started_at: Instant) {
+        if self.stale_since.is_some_and(|since| started_at >= since) {
             self.stale_since = None;
         }
     }
 
-    /// How many gaps were seen.
+    /// Number of gaps detected.
     #[must_use]
-    pub const fn gaps(&self) -> u64 {
-        self.gaps
+    pub const fn gap_count(&self) -> u64 {
+        self.gap_count
     }
 }
--- a/crates/bendhinge_membership/src/lib.rs
+++ b/crates/bendhinge_membership/src/lib.rs
@@ -1,7 +1,7 @@
-//! Who is live and who is leaving, as the platform's lagging list and the routers themselves
-//! tell it; and what routers tell each other within a fixed budget of bytes.
+//! Fleet membership: the platform's member list, the summaries that routers exchange by gossip,
+//! and the routers that are live or leaving according to both.
 //!
-//! `docs/design/MEMBERSHIP.md` says what was weighed.
+//! See `docs/design/MEMBERSHIP.md` for the design.
 
 mod directory;
 mod exchange;
@@ -9,8 +9,8 @@
 mod list;
 mod summary;
 
-pub use directory::{Directory, suspect_after};
-pub use exchange::{EXCHANGE_BYTES, Exchange};
+pub use directory::{Directory, suspicion_timeout};
+pub use exchange::{Exchange, MAX_EXCHANGE_BYTES};
 pub use freshness::{Freshness, FreshnessLimits};
 pub use list::{Member, MemberList, MemberRole, MemberState};
-pub use summary::{ClassUsage, CustomerUsage, Summary, SummaryVersion, UpstreamCount};
+pub use summary::{ClassUsage, CustomerUsage, Summary, SummaryVersion, UpstreamLoad};
--- a/crates/bendhinge_membership/src/list.rs
+++ b/crates/bendhinge_membership/src/list.rs
@@ -1,45 +1,45 @@
-//! The platform's list, as it publishes it.
+//! The member list in the format that the platform publishes.
 
 use std::net::SocketAddr;
 
 use bendhinge_ids::{BoxName, DataCentreName, PoolName, UpstreamName};
 use serde::{Deserialize, Serialize};
 
-/// The platform's list at one revision.
+/// The platform's member list at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MemberList {
-    /// Grows with every change.
+    /// Revision, incremented with every change.
     pub revision: u64,
     /// All boxes and upstreams.
     pub members: Vec<Member>,
 }
 
-/// Whether a member takes new work.
+/// Whether a member accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It does.
+    /// Accepts new work.
     Live,
-    /// It finishes what it has and goes.
+    /// Finishes its requests in progress and then stops.
     Leaving,
 }
 
-/// What a member is.
+/// Role of a member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "role")]
 pub enum MemberRole {
-    /// A box with a router.
+    /// A router.
     Router {
-        /// The box.
+        /// Name of its box.
         name: BoxName,
     },
     /// An upstream.
     Upstream {
-        /// The upstream.
+        /// Name of the upstream.
         name: UpstreamName,
-        /// Its pool.
+        /// Pool it belongs to.
         pool: PoolName,
-        /// Its size relative to others of the pool.
+        /// Capacity relative to the other upstreams of the pool.
         #[serde(default = "one")]
         weight: f64,
     },
@@ -49,16 +49,16 @@
     1.0
 }
 
-/// One entry of the list.
+/// One entry of the member list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// What it is, with its name.
+    /// Role and name.
     #[serde(flatten)]
     pub role: MemberRole,
-    /// Its data centre.
+    /// Data centre it runs in.
     pub data_centre: DataCentreName,
-    /// Where it listens: routers for their peers, upstreams for requests.
+    /// Listening address: for peers if a router, for requests if an upstream.
     pub address: SocketAddr,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: MemberState,
 }
--- a/crates/bendhinge_membership/src/summary.rs
+++ b/crates/bendhinge_membership/src/summary.rs
@@ -1,90 +1,93 @@
-//! What a router tells of itself.
+//! The summary of its own state that a router sends to its peers.
 
 use std::time::Duration;
 
 use bendhinge_ids::{BoxName, ConfigRevision, Digest, Incarnation, NameHash};
 
-/// Which of two summaries of one box is later.
+/// Orders the summaries of one box by age.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SummaryVersion {
-    /// The router's life.
+    /// Incarnation of the router process.
     pub incarnation: Incarnation,
-    /// Grows with every summary of that life.
+    /// Incremented with every summary of that incarnation.
     pub sequence: u64,
 }
 
-/// An upstream's load and health, from the router that counts for it.
+/// Load and health of an upstream, reported by the router that tracks it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UpstreamCount {
+pub struct UpstreamLoad {
     /// The upstream.
     pub upstream: NameHash,
     /// Requests in progress.
     pub in_progress: u16,
-    /// Whether it answered its last load queries.
+    /// Whether it answered the latest load queries.
     pub reachable: bool,
 }
 
-/// Requests of one class in one pool at one router.
+/// Requests of one class in one pool on one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassUsage {
     /// The pool.
     pub pool: NameHash,
     /// The class.
     pub class: NameHash,
-    /// In progress.
+    /// Requests in progress.
     pub in_progress: u16,
-    /// Refused in the last round.
+    /// Requests refused in the last round.
     pub refused: u16,
 }
 
-/// Requests of one customer in one pool at one router.
+/// Requests of one customer in one pool on one router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CustomerUsage {
     /// The pool.
     pub pool: NameHash,
     /// The customer.
     pub customer: NameHash,
-    /// In progress.
+    /// Requests in progress.
     pub in_progress: u16,
-    /// Refused in the last round.
+    /// Requests refused in the last round.
     pub refused: u16,
 }
 
-/// What one router tells of itself.
+/// State that a router reports to its peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// Its box.
+    /// Box that the router runs on.
     pub name: BoxName,
-    /// Its version.
+    /// Version of the summary.
     pub version: SummaryVersion,
-    /// How long ago it was made, by the clocks of those who passed it on.
+    /// Time since it was created, accumulated on the clocks of the routers that forwarded it.
     pub age: Duration,
-    /// Whether the router is stopping: it counts for nothing any more.
+    /// Whether the router is shutting down and no longer tracks upstream load.
     pub leaving: bool,
-    /// Whether its reads of the platform fail, so that others should read in its place.
+    /// Whether its reads from the platform fail, so that other routers should read instead.
     pub platform_fails: bool,
-    /// The revision of the platform's list that it knows.
+    /// Revision of the member list that it holds.
     pub list_revision: u64,
-    /// The latest configuration that it knows, in force or settling.
+    /// Latest configuration that it holds, active or pending.
     pub config_revision: ConfigRevision,
-    /// Its digest.
+    /// Digest of that configuration.
     pub config_digest: Digest,
-    /// The upstreams that it counts for.
-    pub upstreams: Vec<UpstreamCount>,
+    /// Upstreams whose load it tracks.
+    pub upstreams: Vec<UpstreamLoad>,
     /// Usage by class.
     pub classes: Vec<ClassUsage>,
-    /// Usage by its busiest customers.
+    /// Usage by the customers with the most requests.
     pub customers: Vec<CustomerUsage>,
 }
 
 impl Summary {
-    /// About how many bytes it takes to send.
+    /// Estimated encoded size in bytes.
     #[must_use]
-    pub fn size(&self) -> usize {
-        const HEAD: usize = 96;
-        const UPSTREAM: usize = 16;
-        const CLASS: usize = 24;
-        const CUSTOMER: usize = 24;
-        HEAD + UPSTREAM * self.upstreams.len() + CLASS * self.classes.len() + CUSTOMER * self.customers.len()
+    pub fn estimated_bytes(&self) -> usize {
+        const HEADER_BYTES: usize = 96;
+        const UPSTREAM_BYTES: usize = 16;
+        const CLASS_BYTES: usize = 24;
+        const CUSTOMER_BYTES: usize = 24;
+        HEADER_BYTES
+            + UPSTREAM_BYTES * self.upstreams.len()
+            + CLASS_BYTES * self.classes.len()
+            + CUSTOMER_BYTES * self.customers.len()
     }
 }
--- a/crates/bendhinge_peer/src/convert.rs
+++ b/crates/bendhinge_peer/src/convert.rs
@@ -6,7 +6,7 @@
 use bendhinge_ids::{
     BoxName, ConfigRevision, Digest, EventSequence, Incarnation, NameHash, RequestId, RouterInstance,
 };
-use bendhinge_membership::{ClassUsage, CustomerUsage, Summary, SummaryVersion, UpstreamCount};
+use bendhinge_membership::{ClassUsage, CustomerUsage, Summary, SummaryVersion, UpstreamLoad};
 use capnp::Error;
 
 use crate::peer_capnp::{self, holder, summary, usage};
@@ -50,7 +50,7 @@
 
 fn write_upstreams(
     mut builder: capnp::struct_list::Builder<'_, peer_capnp::upstream_count::Owned>,
-    counts: &[UpstreamCount],
+    counts: &[UpstreamLoad],
 ) {
     for (index, count) in (0..).zip(counts) {
         let mut entry = builder.reborrow().get(index);
@@ -87,7 +87,7 @@
         incarnation: Incarnation(reader.get_incarnation()),
         sequence: reader.get_sequence(),
     };
-    let upstreams = reader.get_upstreams()?.iter().map(|count| UpstreamCount {
+    let upstreams = reader.get_upstreams()?.iter().map(|count| UpstreamLoad {
         upstream: NameHash(count.get_upstream()),
         in_progress: count.get_in_progress(),
         reachable: count.get_reachable(),
--- a/crates/bendhinge_router/src/control/exchange.rs
+++ b/crates/bendhinge_router/src/control/exchange.rs
@@ -51,7 +51,7 @@
         fetch_newer(control, other, &summary).await;
     }
     // Only now is the view no older than the other router's.
-    control.node.freshness.lock().unwrap().renewed(began);
+    control.node.freshness.lock().unwrap().mark_renewed(began);
 }
 
 async fn fetch_newer(control: &Control, other: &RouterEntry, summary: &Summary) {
--- a/crates/bendhinge_router/src/control/housekeeping.rs
+++ b/crates/bendhinge_router/src/control/housekeeping.rs
@@ -36,7 +36,7 @@
         let mut membership = node.membership.lock().unwrap();
         let listed: Vec<BoxName> =
             membership.directory.listed_routers().map(|(name, _)| name.clone()).collect();
-        membership.exchange.forget(|name| listed.contains(name), FORGET_AFTER, now);
+        membership.exchange.remove_unlisted(|name| listed.contains(name), FORGET_AFTER, now);
         let counting = membership.counting_routers(node, now);
         (membership.highest_revision(now), membership.is_alone(&node.life.name), counting)
     };
--- a/crates/bendhinge_router/src/control/platform.rs
+++ b/crates/bendhinge_router/src/control/platform.rs
@@ -44,7 +44,7 @@
 pub(super) async fn watch_members(control: Control) {
     let mut watch = Watch { path: "/v1/members", after: 0 };
     loop {
-        let missing = !control.node.membership.lock().unwrap().directory.is_known();
+        let missing = !control.node.membership.lock().unwrap().directory.has_list();
         let Some(value) = watch.next(&control, missing).await else { continue };
         match serde_json::from_slice::<MemberList>(&value) {
             Ok(list) => {
@@ -76,7 +76,7 @@
             Timer::after(node.settings.platform.retry).await;
             return None;
         };
-        node.freshness.lock().unwrap().renewed(began);
+        node.freshness.lock().unwrap().mark_renewed(began);
         self.take(node, fetched).await
     }
 
--- a/crates/bendhinge_router/src/membership/mod.rs
+++ b/crates/bendhinge_router/src/membership/mod.rs
@@ -8,7 +8,7 @@
 
 use bendhinge_delivery::OwnershipHistory;
 use bendhinge_ids::{BoxName, ConfigRevision, Instant};
-use bendhinge_membership::{Directory, Exchange, MemberList, Summary, SummaryVersion, UpstreamCount};
+use bendhinge_membership::{Directory, Exchange, MemberList, Summary, SummaryVersion, UpstreamLoad};
 use bendhinge_timeline::EventKind;
 
 pub(crate) use fleet::{Fleet, FleetPool, Owner, RouterEntry, Target};
@@ -41,7 +41,7 @@
     /// The routers that count for upstreams, in the order of their names.
     pub(crate) fn counting_routers(&self, node: &Node, now: Instant) -> Vec<BoxName> {
         let own = &node.life.name;
-        let mut counting = self.directory.counting_routers(own, node.is_stopping(), &self.exchange, now);
+        let mut counting = self.directory.load_tracking_routers(own, node.is_stopping(), &self.exchange, now);
         counting.sort();
         counting
     }
@@ -54,7 +54,7 @@
 
     /// Whether the list is known and names no other router.
     pub(crate) fn is_alone(&self, own: &BoxName) -> bool {
-        self.directory.is_known() && self.directory.listed_routers().all(|(name, _)| name == own)
+        self.directory.has_list() && self.directory.listed_routers().all(|(name, _)| name == own)
     }
 }
 
@@ -63,7 +63,7 @@
     let now = bendhinge_clock::now();
     let (newer, revision, routers, upstreams) = {
         let mut membership = node.membership.lock().unwrap();
-        let newer = membership.directory.offer(list, now);
+        let newer = membership.directory.update(list, now);
         if newer {
             let boxes = membership.directory.listed_routers().map(|(name, _)| name.clone()).collect();
             membership.history.note(boxes, now);
@@ -82,7 +82,7 @@
 pub(crate) fn hear(node: &Node, summaries: Vec<Summary>) {
     let now = bendhinge_clock::now();
     let mut membership = node.membership.lock().unwrap();
-    membership.exchange.hear(&node.life.name, summaries, now);
+    membership.exchange.receive(&node.life.name, summaries, now);
 }
 
 /// What to tell a peer: the router's own summary first, then others' as the budget allows.
@@ -110,10 +110,10 @@
     membership.exchange.select(own, now)
 }
 
-fn counted_upstreams(node: &Node) -> Vec<UpstreamCount> {
+fn counted_upstreams(node: &Node) -> Vec<UpstreamLoad> {
     let counts = placement::own_counts(node, &node.fleet());
     let health = node.health.lock().unwrap();
-    let told = counts.iter().map(|(target, count)| UpstreamCount {
+    let told = counts.iter().map(|(target, count)| UpstreamLoad {
         upstream: target.hash,
         in_progress: u16::try_from(*count).unwrap_or(u16::MAX),
         reachable: health.is_reachable(target.hash),
--- a/crates/bendhinge_router/src/node.rs
+++ b/crates/bendhinge_router/src/node.rs
@@ -68,7 +68,8 @@
         let NodeParts { settings, life, tasks, metrics, traffic, calls } = parts;
         let now = bendhinge_clock::now();
         let process = ProcessId { name: life.name.to_string(), incarnation: life.incarnation };
-        let limits = FreshnessLimits { gap: settings.control.gap, patience: settings.control.patience };
+        let limits =
+            FreshnessLimits { max_gap: settings.control.gap, renewal_timeout: settings.control.patience };
         let ledger = LedgerLimits { lease: settings.control.lease, max_displaced_chats: DISPLACED_CHATS };
         let once = OnceLimits { window: settings.once.window, keys: settings.once.keys };
         Self {
@@ -121,9 +122,9 @@
     /// Whether the view may be trusted for new work; see [`Freshness`].
     pub(crate) fn is_fresh(&self) -> bool {
         let mut freshness = self.freshness.lock().unwrap();
-        let gaps = freshness.gaps();
-        let fresh = freshness.observe(bendhinge_clock::now());
-        let woke = freshness.gaps() > gaps;
+        let gaps = freshness.gap_count();
+        let fresh = freshness.check(bendhinge_clock::now());
+        let woke = freshness.gap_count() > gaps;
         drop(freshness);
         if woke {
             self.note(EventKind::Woke);
--- a/crates/bendhinge_router/src/operators/mod.rs
+++ b/crates/bendhinge_router/src/operators/mod.rs
@@ -82,7 +82,7 @@
 fn metrics(node: &Node) -> String {
     node.metrics.in_progress.set(node.in_progress.load(std::sync::atomic::Ordering::Relaxed) as u64);
     node.metrics.permits_outstanding.set(node.ledger.lock().unwrap().outstanding() as u64);
-    node.metrics.freezes.set(node.freshness.lock().unwrap().gaps());
+    node.metrics.freezes.set(node.freshness.lock().unwrap().gap_count());
     node.metrics.text()
 }
 
