--- a/crates/bendhinge_configuration/src/adoption.rs
+++ b/crates/bendhinge_configuration/src/adoption.rs
@@ -1,5 +1,5 @@
-//! Decides which confirmed document is in force. Revisions never decrease, and all routers choose
-//! the same one of several documents of a revision.
+//! Decides which confirmed document is in force. The revision in force never decreases, and routers
+//! that receive several documents of a revision within the settle time choose the same one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,7 +45,7 @@
     /// Offers a document whose seal has been verified.
     ///
     /// A later revision always takes precedence. Of two pending documents of one revision the
-    /// one with the smaller digest does, so that the result doesn't depend on the order of
+    /// one with the smaller digest does, so that the result does not depend on the order of
     /// arrival. A document in force is never replaced by another one of its revision.
     pub fn offer(&mut self, document: Arc<Configuration>, now: Instant) -> OfferOutcome {
         if let Some(current) = &self.current {
--- a/crates/bendhinge_configuration/src/order.rs
+++ b/crates/bendhinge_configuration/src/order.rs
@@ -1,5 +1,6 @@
 //! Orders to engines. An order is a pure function of the confirmed configuration and carries a
-//! fencing token, so that duplicate and late orders from any router are harmless.
+//! fencing token, so that any router may send it, and duplicate or late orders are harmless to
+//! engines that check the token.
 
 use bendhinge_ids::{PoolName, UpstreamName};
 use serde::{Deserialize, Serialize};
--- a/crates/bendhinge_configuration/tests/plan.rs
+++ b/crates/bendhinge_configuration/tests/plan.rs
@@ -42,9 +42,11 @@
 #[test]
 fn plan_reports_effects_of_changing_a_share() {
     let plan = Plan::make(&base(), &[set("class.reader.share=110")], &members()).unwrap();
-    let of = |class: &str| plan.shares.iter().find(|share| share.class == class).unwrap();
-    assert!((of("deadline").before - 0.6).abs() < 1e-9 && (of("deadline").after - 0.3).abs() < 1e-9);
-    assert!((of("reader").after - 0.55).abs() < 1e-9);
+    let effect_of = |class: &str| plan.shares.iter().find(|share| share.class == class).unwrap();
+    assert!(
+        (effect_of("deadline").before - 0.6).abs() < 1e-9 && (effect_of("deadline").after - 0.3).abs() < 1e-9
+    );
+    assert!((effect_of("reader").after - 0.55).abs() < 1e-9);
     assert!(plan.pools.is_empty(), "no chat moves");
 }
 
--- a/crates/bendhinge_membership/src/directory.rs
+++ b/crates/bendhinge_membership/src/directory.rs
@@ -71,14 +71,14 @@
         exchange: &Exchange,
         now: Instant,
     ) -> Vec<BoxName> {
-        let listed_for = self.list_received_at.map_or(Duration::ZERO, |received_at| now.since(received_at));
+        let list_age = self.list_received_at.map_or(Duration::ZERO, |received_at| now.since(received_at));
         let suspicion_timeout = suspicion_timeout(self.listed_routers().count());
         let is_tracking = |name: &BoxName, member: &Member| {
             if name == own {
                 return !own_leaving;
             }
             let announced_leaving = exchange.summary(name).is_some_and(|summary| summary.leaving);
-            let elapsed = exchange.time_since_update(name, now).unwrap_or(listed_for);
+            let elapsed = exchange.time_since_update(name, now).unwrap_or(list_age);
             member.state == MemberState::Live && !announced_leaving && elapsed < suspicion_timeout
         };
         let tracking = self.listed_routers().filter(|(name, member)| is_tracking(name, member));
