--- a/crates/bendhinge_operator/src/render.rs
+++ b/crates/bendhinge_operator/src/render.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write as _;
 
-use bendhinge_configuration::{Change, Plan, PoolEffect};
+use bendhinge_configuration::{Plan, PoolEffect, SectionChange};
 
 /// Formats a plan for an operator.
 // Writing to a `String` cannot fail, so this and the `write_*` functions discard the result.
@@ -26,7 +26,7 @@
     text
 }
 
-fn write_change(text: &mut String, change: &Change) {
+fn write_change(text: &mut String, change: &SectionChange) {
     let _ = writeln!(text, "  [{}]", change.section);
     let removed = change.before.lines().filter(|line| !change.after.lines().any(|other| other == *line));
     let added = change.after.lines().filter(|line| !change.before.lines().any(|other| other == *line));
