--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -72,7 +72,7 @@
 /// It then contacts a random member. Otherwise all gateways of a fleet that has just started would
 /// contact the same first rank.
 fn is_bootstrapping(control: &ControlPlane) -> bool {
-    let DeliveryContext { rules, upstreams, .. } = &*control.delivering;
+    let DeliveryContext { rules, upstreams, .. } = &*control.context;
     rules.current().is_none() || !upstreams.has_list_or_partial()
 }
 
@@ -105,7 +105,7 @@
         let now = bendhinge_clock::now();
         let store_failing = control.is_store_failing();
         let includes_forwarded = !control.roster.borrow().is_small();
-        let quarantine = &control.delivering.quarantine;
+        let quarantine = &control.context.quarantine;
         let targets = control.roster.borrow().suspicion_push_targets(origin, store_failing, now);
         for address in targets {
             if !quarantine.has_changes_for(address, since, includes_forwarded) {
@@ -175,7 +175,7 @@
     let requested_at = bendhinge_clock::now();
     let message = compose_message(control, address, content, None, requested_at);
     let response = control.peers.call(address, async |peer| peer.exchange(&message).await).await;
-    control.delivering.metrics.count_exchange(response.is_ok());
+    control.context.metrics.count_exchange(response.is_ok());
     let Ok(response) = response else { return false };
     merge_message(control, &response, Some(requested_at));
     control.divide_shared_limits();
@@ -197,7 +197,7 @@
         };
         let now = bendhinge_clock::now();
         let max_ages = self.max_replica_ages();
-        let DeliveryContext { rules, upstreams, .. } = &*self.delivering;
+        let DeliveryContext { rules, upstreams, .. } = &*self.context;
         is_fresher(message.rules, rules.held_version(now), max_ages.rules)
             || is_fresher(message.upstreams, upstreams.held_version(now), max_ages.upstreams)
     }
@@ -233,11 +233,11 @@
         merge_message(&self.0, &message, None);
         let control = Rc::clone(&self.0);
         let address = message.sender.address;
-        let delivering = &self.0.delivering;
+        let context = &self.0.context;
         let has_fresher_evidence = control.sender_has_fresher_evidence(&message);
-        let has_updates = message.has_partial_list && !delivering.upstreams.has_list_or_partial()
-            || message.rules.is_some_and(|known| delivering.rules.needs(known.version))
-            || message.upstreams.is_some_and(|known| delivering.upstreams.needs(known.version));
+        let has_updates = message.has_partial_list && !context.upstreams.has_list_or_partial()
+            || message.rules.is_some_and(|held| context.rules.needs(held.version))
+            || message.upstreams.is_some_and(|held| context.upstreams.needs(held.version));
         let now = bendhinge_clock::now();
         let content = match &message {
             message if message.is_announcement => MessageContent::Brief,
@@ -261,29 +261,29 @@
     }
 
     fn rules(&self) -> Option<(HeldVersion, Bytes)> {
-        let rules = &self.0.delivering.rules;
-        let known = rules.held_version(bendhinge_clock::now())?;
-        Some((known, rules.current()?.document.clone()))
+        let rules = &self.0.context.rules;
+        let held = rules.held_version(bendhinge_clock::now())?;
+        Some((held, rules.current()?.document.clone()))
     }
 
     fn cached_parts(&self, page: CachedPartsPage) -> Option<Vec<ObservedCachedPart>> {
         self.0
             .is_recovery_done
             .get()
-            .then(|| self.0.delivering.upstreams.cached_reads(page, bendhinge_clock::now()))
+            .then(|| self.0.context.upstreams.cached_reads(page, bendhinge_clock::now()))
     }
 
     fn recent_list(&self, digest: u64) -> Option<Arc<UpstreamList>> {
-        self.0.delivering.upstreams.recent_list(digest)
+        self.0.context.upstreams.recent_list(digest)
     }
 
     fn partial_list(&self) -> Option<Arc<UpstreamList>> {
-        self.0.delivering.upstreams.partial_list()
+        self.0.context.upstreams.partial_list()
     }
 
     fn upstreams(&self, base: Option<u64>) -> Option<(HeldVersion, ListUpdate)> {
-        let upstreams = &self.0.delivering.upstreams;
-        let known = upstreams.held_version(bendhinge_clock::now())?;
-        Some((known, upstreams.list_update_for(base)?))
+        let upstreams = &self.0.context.upstreams;
+        let held = upstreams.held_version(bendhinge_clock::now())?;
+        Some((held, upstreams.list_update_for(base)?))
     }
 }
--- a/crates/bendhinge_gateway/src/control/fetching.rs
+++ b/crates/bendhinge_gateway/src/control/fetching.rs
@@ -62,8 +62,8 @@
     /// Fetches the values announced by `message` that this gateway lacks from the gateway at
     /// `address`.
     pub(super) async fn fetch_updates(self: &Rc<Self>, address: SocketAddr, message: &PeerMessage) {
-        let DeliveryContext { rules, upstreams, .. } = &*self.delivering;
-        let source = |known: HeldVersion| FetchSource { address, version: known.version };
+        let DeliveryContext { rules, upstreams, .. } = &*self.context;
+        let source = |held: HeldVersion| FetchSource { address, version: held.version };
         let list = async {
             if let Some(source) = message.upstreams.map(source) {
                 let needs = |version| upstreams.needs(version);
@@ -98,22 +98,22 @@
         let partial_list =
             self.record_fetch(ReplicaKind::Upstreams, address, requested_at, fetched.map(Some));
         if let Some(partial_list) = partial_list {
-            self.delivering.upstreams.apply_partial_list(Arc::new(partial_list));
+            self.context.upstreams.apply_partial_list(Arc::new(partial_list));
         }
     }
 
     async fn fetch_rules(self: &Rc<Self>, address: SocketAddr) {
         let requested_at = bendhinge_clock::now();
         let fetched = self.peers.call(address, async |peer| peer.rules().await).await;
-        if let Some((known, document)) = self.record_fetch(ReplicaKind::Rules, address, requested_at, fetched)
+        if let Some((held, document)) = self.record_fetch(ReplicaKind::Rules, address, requested_at, fetched)
         {
-            self.update_rules(&known, requested_at, document, Origin::Peer);
+            self.update_rules(&held, requested_at, document, Origin::Peer);
         }
     }
 
     async fn fetch_upstream_list(self: &Rc<Self>, address: SocketAddr) {
         let base =
-            self.delivering.upstreams.held_version(bendhinge_clock::now()).map(|known| known.version.digest);
+            self.context.upstreams.held_version(bendhinge_clock::now()).map(|held| held.version.digest);
         if !self.fetch_list(address, base).await && base.is_some() {
             self.fetch_list(address, None).await;
         }
@@ -125,16 +125,16 @@
         let requested_at = bendhinge_clock::now();
         let fetched = self.peers.call(address, async |peer| peer.upstreams(base).await).await;
         let fetched = self.record_fetch(ReplicaKind::Upstreams, address, requested_at, fetched);
-        let Some((known, update)) = fetched else { return true };
+        let Some((held, update)) = fetched else { return true };
         let list = match update {
             ListUpdate::Full(list) => Some(list),
             ListUpdate::Delta { base, delta: changes } => {
-                let list = self.delivering.upstreams.apply_list_delta(base, &changes);
-                list.filter(|list| list.digest() == known.version.digest)
+                let list = self.context.upstreams.apply_list_delta(base, &changes);
+                list.filter(|list| list.digest() == held.version.digest)
             }
         };
         let Some(list) = list else { return false };
-        self.update_upstream_list(&known, requested_at, list, Origin::Peer);
+        self.update_upstream_list(&held, requested_at, list, Origin::Peer);
         true
     }
 
@@ -147,21 +147,21 @@
         fetched: Result<Option<T>, CallError>,
     ) -> Option<T> {
         let elapsed = bendhinge_clock::now().since(requested_at);
-        let DeliveryContext { metrics, log, .. } = &*self.delivering;
+        let DeliveryContext { metrics, log, .. } = &*self.context;
         metrics.record_peer_fetch(value, elapsed, fetched.is_ok());
         fetched.inspect_err(|error| log.peer_fetch_failed(value, source, elapsed, error)).ok().flatten()
     }
 
-    /// Updates the rules to a document that was current `known.age` before `requested_at`, and
+    /// Updates the rules to a document that was current `held.age` before `requested_at`, and
     /// notifies peers.
     pub(super) fn update_rules(
         self: &Rc<Self>,
-        known: &HeldVersion,
+        held: &HeldVersion,
         requested_at: Instant,
         document: Bytes,
         origin: Origin,
     ) {
-        if self.update_rules_locally(known, requested_at, document, origin) == UpdateOutcome::Updated {
+        if self.update_rules_locally(held, requested_at, document, origin) == UpdateOutcome::Updated {
             self.spawn_push(origin);
         }
     }
@@ -169,49 +169,49 @@
     /// Updates the rules like [`ControlPlane::update_rules`], but does not notify peers.
     pub(super) fn update_rules_locally(
         &self,
-        known: &HeldVersion,
+        held: &HeldVersion,
         requested_at: Instant,
         document: Bytes,
         origin: Origin,
     ) -> UpdateOutcome {
-        let rules = match self.delivering.dialect.parse_rules(&document) {
+        let rules = match self.context.dialect.parse_rules(&document) {
             Ok(rules) => rules,
             Err(error) => {
-                self.delivering.log.process_event("rules_refused", origin.as_str(), &error.to_string());
+                self.context.log.process_event("rules_refused", origin.as_str(), &error.to_string());
                 return UpdateOutcome::Stale;
             }
         };
         let candidate = ActiveRules { rules, document };
-        let outcome = self.delivering.rules.update(known.version, requested_at - known.age, candidate);
+        let outcome = self.context.rules.update(held.version, requested_at - held.age, candidate);
         if outcome == UpdateOutcome::Updated {
-            let age = bendhinge_clock::now().since(requested_at - known.age);
+            let age = bendhinge_clock::now().since(requested_at - held.age);
             // The log shows the revision of the document, which operators know the rules by.
-            let logged_version = Version { revision: known.version.document(), ..known.version };
-            self.delivering.log.replica_updated(ReplicaKind::Rules, logged_version, origin, age);
+            let logged_version = Version { revision: held.version.document(), ..held.version };
+            self.context.log.replica_updated(ReplicaKind::Rules, logged_version, origin, age);
         }
         outcome
     }
 
-    /// Updates the list of upstreams to one that was current `known.age` before `requested_at`, and
+    /// Updates the list of upstreams to one that was current `held.age` before `requested_at`, and
     /// notifies peers.
     pub(super) fn update_upstream_list(
         self: &Rc<Self>,
-        known: &HeldVersion,
+        held: &HeldVersion,
         requested_at: Instant,
         list: UpstreamList,
         origin: Origin,
     ) {
-        let DeliveryContext { upstreams, log, .. } = &*self.delivering;
+        let DeliveryContext { upstreams, log, .. } = &*self.context;
         let drained = list.drained.clone();
-        let previously_drained = upstreams.list().map(|held| held.drained.clone()).unwrap_or_default();
-        let outcome = upstreams.update(known.version, requested_at - known.age, list);
+        let previously_drained = upstreams.list().map(|current| current.drained.clone()).unwrap_or_default();
+        let outcome = upstreams.update(held.version, requested_at - held.age, list);
         if outcome == UpdateOutcome::Updated && drained != previously_drained {
             log.drained_data_centres_changed(&drained, origin);
         }
         if outcome == UpdateOutcome::Updated {
-            let age = bendhinge_clock::now().since(requested_at - known.age);
-            log.replica_updated(ReplicaKind::Upstreams, known.version, origin, age);
-            self.delivering.quarantine.set_running_software(upstreams.software_hashes());
+            let age = bendhinge_clock::now().since(requested_at - held.age);
+            log.replica_updated(ReplicaKind::Upstreams, held.version, origin, age);
+            self.context.quarantine.set_running_software(upstreams.software_hashes());
             self.spawn_push(origin);
         }
     }
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -46,16 +46,16 @@
     let mut message = PeerMessage {
         is_announcement: matches!(content, MessageContent::Brief | MessageContent::Suspicions { .. }),
         is_probe: content == MessageContent::Probe,
-        rules: control.delivering.rules.held_version(now),
-        upstreams: control.delivering.upstreams.held_version(now),
-        has_partial_list: control.delivering.upstreams.partial_list().is_some(),
+        rules: control.context.rules.held_version(now),
+        upstreams: control.context.upstreams.held_version(now),
+        has_partial_list: control.context.upstreams.partial_list().is_some(),
         roster_digest: control.roster.borrow().digest(),
         sent_position: Some(LogPosition { incarnation: control.incarnation, sequence: 0 }),
         received_position: peer.and_then(|peer| peer.received),
-        quarantine_digest: control.delivering.quarantine.digest(),
+        quarantine_digest: control.context.quarantine.digest(),
         ..PeerMessage::from_sender(control.own_report())
     };
-    let quarantine = &control.delivering.quarantine;
+    let quarantine = &control.context.quarantine;
     if let MessageContent::Suspicions { since, includes_forwarded } = content {
         message.crash_histories = quarantine.changes_for(receiver, since, includes_forwarded, now);
     }
@@ -69,11 +69,11 @@
     if content == MessageContent::Full {
         let known_digest = peer.map_or(0, |peer| peer.summary.quarantine_digest);
         message.crash_histories = quarantine.histories_to_sync(known_digest, now);
-        message.failure_evidence = control.delivering.upstreams.suspicions_for(receiver, now);
+        message.failure_evidence = control.context.upstreams.suspicions_for(receiver, now);
         builder.add_loads(&mut message);
         builder.add_reads(request, &mut message);
     }
-    control.delivering.metrics.count_sent_entries(&message);
+    control.context.metrics.count_sent_entries(&message);
     message
 }
 
@@ -96,8 +96,8 @@
     }
 
     fn add_loads(&self, message: &mut PeerMessage) {
-        let upstreams = &self.control.delivering.upstreams;
-        let held_digest = message.upstreams.map(|known| known.version.digest);
+        let upstreams = &self.control.context.upstreams;
+        let held_digest = message.upstreams.map(|held| held.version.digest);
         let holds_same_list = held_digest.is_some()
             && self.peer.is_some_and(|peer| peer.summary.upstream_list_digest == held_digest);
         if holds_same_list {
@@ -108,17 +108,17 @@
     }
 
     fn add_reads(&self, request: Option<&PeerMessage>, message: &mut PeerMessage) {
-        let ControlPlane { delivering, incarnation, .. } = self.control;
+        let ControlPlane { context, incarnation, .. } = self.control;
         let acknowledged = match request {
             // The request states what its sender has received.
             Some(request) => request
                 .received_position
-                .filter(|heard| heard.incarnation == *incarnation)
-                .map(|heard| heard.sequence),
+                .filter(|position| position.incarnation == *incarnation)
+                .map(|position| position.sequence),
             None => self.peer.and_then(|peer| peer.acknowledged),
         };
-        let batch = delivering.upstreams.cache_updates_for(self.receiver, acknowledged, self.now);
-        delivering.metrics.count_dropped_reads(batch.dropped);
+        let batch = context.upstreams.cache_updates_for(self.receiver, acknowledged, self.now);
+        context.metrics.count_dropped_reads(batch.dropped);
         message.cached_parts = batch.entries.into_iter().map(|read| observed_read(read, self.now)).collect();
         message.sent_position =
             Some(LogPosition { incarnation: *incarnation, sequence: batch.last_sequence });
@@ -134,26 +134,26 @@
     let sender_address = message.sender.address;
     control.peer_states.borrow_mut().record_summary(sender_address, peer_summary(message), now);
     merge_members(control, message, now);
-    let upstreams = &control.delivering.upstreams;
-    // Reads, loads, suspicions and doubts only guide decisions, so the unknown transit time of an
+    let upstreams = &control.context.upstreams;
+    // Cached parts, loads, crash histories and failure evidence only guide decisions, so the unknown transit time of an
     // unsolicited message is ignored for them.
     let as_of = requested_at.unwrap_or(now);
     upstreams.record_peer_reads(&message.cached_parts, sender_address, as_of);
     upstreams.record_peer_loads(&message.loads, sender_address, as_of);
-    if let (Some(list_loads), Some(known)) = (&message.list_loads, message.upstreams) {
-        upstreams.apply_list_loads(list_loads, known.version, sender_address, as_of);
+    if let (Some(list_loads), Some(held)) = (&message.list_loads, message.upstreams) {
+        upstreams.apply_list_loads(list_loads, held.version, sender_address, as_of);
     }
-    control.delivering.quarantine.merge_reported(&message.crash_histories, sender_address, as_of);
+    control.context.quarantine.merge_reported(&message.crash_histories, sender_address, as_of);
     for upstream in upstreams.merge_suspicions(&message.failure_evidence, sender_address, as_of) {
-        control.delivering.log.upstream_suspected(&upstream.name, sender_address);
-        control.delivering.metrics.count_suspected_upstream();
+        control.context.log.upstream_suspected(&upstream.name, sender_address);
+        control.context.metrics.count_suspected_upstream();
     }
     let Some(requested_at) = requested_at else { return };
-    if let Some(known) = message.rules {
-        control.delivering.rules.confirm(known.version, requested_at - known.age);
+    if let Some(held) = message.rules {
+        control.context.rules.confirm(held.version, requested_at - held.age);
     }
-    if let Some(known) = message.upstreams {
-        upstreams.confirm(known.version, requested_at - known.age);
+    if let Some(held) = message.upstreams {
+        upstreams.confirm(held.version, requested_at - held.age);
     }
 }
 
@@ -172,9 +172,9 @@
 
 fn peer_summary(message: &PeerMessage) -> PeerSummary {
     PeerSummary {
-        incarnation: message.sent_position.map(|told| told.incarnation),
+        incarnation: message.sent_position.map(|position| position.incarnation),
         roster_digest: message.roster_digest,
-        upstream_list_digest: message.upstreams.map(|known| known.version.digest),
+        upstream_list_digest: message.upstreams.map(|held| held.version.digest),
         quarantine_digest: message.quarantine_digest,
     }
 }
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -40,7 +40,7 @@
 /// Control plane of this gateway.
 pub(crate) struct ControlPlane {
     settings: Settings,
-    delivering: Arc<DeliveryContext>,
+    context: Arc<DeliveryContext>,
     lifecycle: Arc<Lifecycle>,
     roster: RefCell<Roster>,
     list_reader: StoreReader,
@@ -67,7 +67,7 @@
 impl ControlPlane {
     pub(crate) fn new(
         settings: Settings,
-        delivering: Arc<DeliveryContext>,
+        context: Arc<DeliveryContext>,
         lifecycle: Arc<Lifecycle>,
         traffic: Arc<TrafficCounters>,
         executor: &Rc<LocalExecutor<'static>>,
@@ -96,7 +96,7 @@
             executor: Rc::clone(executor),
             is_recovery_done: Cell::new(false),
             settings,
-            delivering,
+            context,
             lifecycle,
         })
     }
@@ -122,14 +122,14 @@
     /// Applies the reloadable part of changed settings.
     pub(crate) fn apply_settings(&self, settings: &Settings) {
         self.roster.borrow_mut().set_seeds(&settings.fleet.seeds);
-        self.delivering.quarantine.release(&settings.released_requests);
+        self.context.quarantine.release(&settings.released_requests);
     }
 
     /// Divides the fleet-wide limits among the known gateways.
     fn divide_shared_limits(&self) {
         let gateways = self.roster.borrow().known_count();
-        self.delivering.retry_budgets.set_router_count(gateways);
-        self.delivering.upstreams.set_gateway_count(gateways);
+        self.context.retry_budgets.set_gateway_count(gateways);
+        self.context.upstreams.set_gateway_count(gateways);
     }
 
     /// Notifies peers that this gateway is shutting down.
@@ -151,10 +151,10 @@
         control.roster.borrow_mut().remove_expired(now);
         control.divide_shared_limits();
         control.peer_states.borrow_mut().evict_idle(now);
-        control.delivering.upstreams.prune();
-        control.delivering.quarantine.prune();
-        control.delivering.crash_probes.retain(|upstream| control.delivering.upstreams.contains(upstream));
-        control.delivering.pacing.prune();
-        control.delivering.connection_pool.prune();
+        control.context.upstreams.prune();
+        control.context.quarantine.prune();
+        control.context.crash_probes.retain(|upstream| control.context.upstreams.contains(upstream));
+        control.context.pacing.prune();
+        control.context.connection_pool.prune();
     }
 }
--- a/crates/bendhinge_gateway/src/control/pages.rs
+++ b/crates/bendhinge_gateway/src/control/pages.rs
@@ -113,7 +113,7 @@
         if page.next_after.is_none() || !part.includes_upstreams() {
             return self.read_remaining_pages(part, page, start).await;
         }
-        if !self.delivering.upstreams.has_list() {
+        if !self.context.upstreams.has_list() {
             let mut contents = StoreContents { start, ..StoreContents::default() };
             contents.add_page(page);
             self.start_with_first_page(contents);
@@ -187,7 +187,7 @@
     }
 
     async fn fetch_changes(&self, since: Revision) -> Result<StoreChanges, ReadError> {
-        let dialect = &self.delivering.dialect;
+        let dialect = &self.context.dialect;
         // The changes may include the rules.
         let body = self.fetch_from_store(&dialect.changes_path(since), LARGE_RULES_TIMEOUT).await?;
         Ok(dialect.parse_changes(&body)?)
@@ -195,7 +195,7 @@
 
     async fn read_page(&self, part: StorePart, after: Option<&str>) -> Result<StorePage, ReadError> {
         let known_revision = self.held_rules_revision();
-        let dialect = &self.delivering.dialect;
+        let dialect = &self.context.dialect;
         let may_include_large_rules = part == StorePart::Rules || self.awaits_initial_read();
         let timeout =
             if may_include_large_rules { LARGE_RULES_TIMEOUT } else { self.settings.store.call_timeout };
@@ -203,15 +203,15 @@
         Ok(dialect.parse_page(&body, known_revision)?)
     }
 
-    async fn fetch_from_store(&self, path: &str, whole: Duration) -> Result<bytes::Bytes, ReadError> {
+    async fn fetch_from_store(&self, path: &str, total_timeout: Duration) -> Result<bytes::Bytes, ReadError> {
         let store = &self.settings.store;
         let request = Request::get(path).header("host", store.address.to_string());
         let request = request
             .body(empty_body())
             .map_err(|error| ParseError::new("the path of the store request", &error))?;
-        let time = FetchTimeouts { read: store.call_timeout, total: whole };
+        let time = FetchTimeouts { read: store.call_timeout, total: total_timeout };
         let fetched: Fetched =
-            fetch(&self.delivering.connection_pool, store.address, request, MAX_PAGE_BYTES, time).await?;
+            fetch(&self.context.connection_pool, store.address, request, MAX_PAGE_BYTES, time).await?;
         if fetched.status != StatusCode::OK {
             return Err(FetchError::Status(fetched.status).into());
         }
@@ -220,13 +220,13 @@
 
     /// Returns the revision of the held rules document.
     fn held_rules_revision(&self) -> Option<Revision> {
-        let held = self.delivering.rules.held_version(bendhinge_clock::now())?;
+        let held = self.context.rules.held_version(bendhinge_clock::now())?;
         Some(held.version.document())
     }
 
     /// Returns whether the held list was confirmed to be current at `since` or later.
     fn is_list_current_since(&self, since: Instant) -> bool {
         let now = bendhinge_clock::now();
-        self.delivering.upstreams.age(now).is_some_and(|age| now - age >= since)
+        self.context.upstreams.age(now).is_some_and(|age| now - age >= since)
     }
 }
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -51,7 +51,7 @@
             if self.recover_from_any_peer().await {
                 return;
             }
-            let Some(upstreams) = self.delivering.upstreams.list() else { continue };
+            let Some(upstreams) = self.context.upstreams.list() else { continue };
             let now = bendhinge_clock::now();
             let view = FleetView {
                 live_routers: self.roster.borrow().live_count(now),
@@ -82,7 +82,7 @@
         );
         for contact in contacts {
             if let Some(parts) = self.recover_from_peer(contact.address()).await {
-                self.delivering.log.cached_parts_recovered("peer", contact.address(), parts);
+                self.context.log.cached_parts_recovered("peer", contact.address(), parts);
                 return true;
             }
         }
@@ -97,17 +97,16 @@
             let page = CachedPartsPage { index, count: PEER_READ_PAGES };
             let reads = self.peers.call(address, async |peer| peer.cached_parts(page).await).await;
             let reads = reads.ok()??;
-            self.delivering.upstreams.restore_reads(&reads);
+            self.context.upstreams.restore_reads(&reads);
             parts += reads.len();
         }
         Some(parts)
     }
 
     async fn recover_from_upstreams(self: &Rc<Self>) {
-        let Some(rules) = self.delivering.rules.current() else { return };
+        let Some(rules) = self.context.rules.current() else { return };
         let caches_prompts = |pool: &_| rules.rules.pools.get(pool).is_some_and(|rule| rule.caches_prompts);
-        for batch in
-            self.delivering.upstreams.available_in_pools(caches_prompts).chunks(MAX_CONCURRENT_QUERIES)
+        for batch in self.context.upstreams.available_in_pools(caches_prompts).chunks(MAX_CONCURRENT_QUERIES)
         {
             let tasks: Vec<_> = batch.iter().map(|upstream| self.spawn_upstream_recovery(upstream)).collect();
             for task in tasks {
@@ -122,20 +121,20 @@
         let upstream = Arc::clone(upstream);
         self.executor.spawn(async move {
             let reads = control.query_cached_parts(&upstream).await;
-            control.delivering.upstreams.restore_reads(&reads);
-            control.delivering.log.cached_parts_recovered("upstream", upstream.address, reads.len());
+            control.context.upstreams.restore_reads(&reads);
+            control.context.log.cached_parts_recovered("upstream", upstream.address, reads.len());
         })
     }
 
     async fn query_cached_parts(&self, upstream: &UpstreamEntry) -> Vec<ObservedCachedPart> {
-        let dialect = &self.delivering.dialect;
-        let pool = &self.delivering.connection_pool;
+        let dialect = &self.context.dialect;
+        let pool = &self.context.connection_pool;
         let fetched =
             fetch_path(pool, upstream.address, dialect.cached_parts_path(), UPSTREAM_QUERY_TIMEOUT).await;
         let Ok(Fetched { status, headers, body }) = fetched else { return Vec::new() };
         // If another upstream has taken over the address, the expected one is gone and marking it as
         // unavailable does no harm.
-        self.delivering.record_availability(None, upstream, dialect.parse_availability(status, &headers));
+        self.context.record_availability(None, upstream, dialect.parse_availability(status, &headers));
         if status != StatusCode::OK {
             return Vec::new();
         }
--- a/crates/bendhinge_gateway/src/control/store.rs
+++ b/crates/bendhinge_gateway/src/control/store.rs
@@ -96,7 +96,7 @@
             None => self.read_part(part).await,
         };
         let now = bendhinge_clock::now();
-        self.delivering.metrics.record_store_read(now.since(start), outcome.is_ok());
+        self.context.metrics.record_store_read(now.since(start), outcome.is_ok());
         match outcome {
             Ok(outcome) => {
                 reader.schedule.borrow_mut().record_success(now);
@@ -140,20 +140,20 @@
     /// Returns the revision of the store up to which both list and rules are known.
     fn synced_revision(&self) -> Option<Revision> {
         let now = bendhinge_clock::now();
-        let rules = self.delivering.rules.held_version(now)?;
-        let upstreams = self.delivering.upstreams.held_version(now)?;
+        let rules = self.context.rules.held_version(now)?;
+        let upstreams = self.context.upstreams.held_version(now)?;
         Some(rules.version.revision.min(upstreams.version.revision))
     }
 
     /// Returns whether only the changes of the store are read, because the list is long.
     fn reads_changes_only(&self) -> bool {
         let is_long = |list: Arc<UpstreamList>| list.entries.len() > SHORT_LIST_MAX_UPSTREAMS;
-        self.delivering.upstreams.list().is_some_and(is_long) && !self.is_history_lost.get()
+        self.context.upstreams.list().is_some_and(is_long) && !self.is_history_lost.get()
     }
 
     /// Returns how long this gateway waits before it reads all pages of a long list.
     pub(super) fn full_list_delay(&self, now: Instant) -> Duration {
-        let holds_list = self.delivering.upstreams.has_list();
+        let holds_list = self.context.upstreams.has_list();
         self.list_reader.schedule.borrow().full_list_delay(self.own_rank(now), holds_list)
     }
 
@@ -170,10 +170,10 @@
     /// Returns whether the rules are read together with the list, because they are small or because
     /// changes of the whole store are read.
     fn reads_rules_with_list(&self) -> bool {
-        if self.reads_changes_only() && self.delivering.rules.current().is_some() {
+        if self.reads_changes_only() && self.context.rules.current().is_some() {
             return true;
         }
-        let held = self.delivering.rules.current();
+        let held = self.context.rules.current();
         let is_small = held.is_some_and(|held| held.document.len() <= SMALL_RULES_MAX_BYTES);
         is_small && !self.has_combined_read_timed_out.get()
     }
@@ -183,7 +183,7 @@
     /// Serving needs both, so a gateway that holds neither reads them in one call until a list
     /// arrives, with or without rules, or a combined read times out.
     pub(super) fn awaits_initial_read(&self) -> bool {
-        let is_empty = self.delivering.rules.current().is_none() && !self.delivering.upstreams.has_list();
+        let is_empty = self.context.rules.current().is_none() && !self.context.upstreams.has_list();
         is_empty && !self.has_combined_read_timed_out.get()
     }
 
@@ -195,16 +195,16 @@
         if self.reads_rules_with_list() {
             return Duration::ZERO;
         }
-        let length = self.delivering.rules.current().map_or(0, |current| current.document.len());
+        let length = self.context.rules.current().map_or(0, |current| current.document.len());
         self.settings.link.transfer_time(length as f64 * BASE64_GROWTH)
     }
 
     /// Returns the time until the next read of the list of upstreams.
     fn time_until_list_read(&self) -> Duration {
         let now = bendhinge_clock::now();
-        let upstreams = self.delivering.upstreams.age(now);
+        let upstreams = self.context.upstreams.age(now);
         let age = if self.reads_rules_with_list() {
-            upstreams.max(self.delivering.rules.age(now)).filter(|_| upstreams.is_some())
+            upstreams.max(self.context.rules.age(now)).filter(|_| upstreams.is_some())
         } else {
             upstreams
         };
@@ -214,7 +214,7 @@
     /// Returns the time until the next separate read of the rules.
     fn time_until_rules_read(&self) -> Duration {
         let now = bendhinge_clock::now();
-        let age = self.delivering.rules.age(now);
+        let age = self.context.rules.age(now);
         self.rules_reader.schedule.borrow().time_until_read(
             age,
             self.own_rank(now),
@@ -236,7 +236,7 @@
     fn is_replica_overdue(&self) -> bool {
         let now = bendhinge_clock::now();
         let max_ages = self.max_replica_ages();
-        let DeliveryContext { rules, upstreams, .. } = &*self.delivering;
+        let DeliveryContext { rules, upstreams, .. } = &*self.context;
         rules.age(now).is_some_and(|age| age > max_ages.rules)
             || upstreams.age(now).is_some_and(|age| age > max_ages.upstreams)
     }
@@ -244,7 +244,7 @@
     /// Logs that the store became available or unavailable.
     fn log_store_state(&self, reader: &StoreReader, is_available: bool, detail: &str) {
         if reader.is_available.replace(Some(is_available)) != Some(is_available) {
-            self.delivering.log.dependency_changed(reader.dependency, is_available, detail);
+            self.context.log.dependency_changed(reader.dependency, is_available, detail);
         }
     }
 
@@ -252,7 +252,7 @@
     fn update_foreign_entries(&self, foreign: &BTreeSet<ForeignEntry>) {
         /// Maximum number of log lines for added entries, and for removed ones, per read.
         const MAX_LOG_LINES: usize = 16;
-        let DeliveryContext { log, metrics, .. } = &*self.delivering;
+        let DeliveryContext { log, metrics, .. } = &*self.context;
         metrics.record_foreign_entries(foreign.len());
         let previous = self.foreign_entries.replace(foreign.clone());
         for added in foreign.difference(&previous).take(MAX_LOG_LINES) {
@@ -273,7 +273,7 @@
             // Peers are not notified, since all gateways that start read this page.
             self.update_rules_locally(&current_at_read(version), start, document, Origin::Store);
         }
-        self.delivering.upstreams.apply_partial_list(Arc::new(contents.into_list()));
+        self.context.upstreams.apply_partial_list(Arc::new(contents.into_list()));
     }
 
     fn apply_contents(self: &Rc<Self>, part: StorePart, mut contents: StoreContents) {
@@ -298,7 +298,7 @@
         drained.sort_unstable();
         drained.dedup();
         let now = bendhinge_clock::now();
-        let DeliveryContext { rules: held_rules, upstreams, .. } = &*self.delivering;
+        let DeliveryContext { rules: held_rules, upstreams, .. } = &*self.context;
         match (rules, held_rules.held_version(now)) {
             (Some(rules), _) => self.update_rules_from_store(rules, at, start),
             (None, Some(held)) => {
@@ -328,10 +328,10 @@
     /// Updates the rules to those at store revision `at`, from a read started at `start`.
     fn update_rules_from_store(self: &Rc<Self>, rules: StoredRules, at: Revision, start: Instant) {
         let version = Version::of_document(rules.revision, at);
-        if self.delivering.rules.needs(version) {
+        if self.context.rules.needs(version) {
             self.update_rules(&current_at_read(version), start, rules.document, Origin::Store);
         } else {
-            self.delivering.rules.confirm(version, start);
+            self.context.rules.confirm(version, start);
         }
     }
 }
--- a/crates/bendhinge_gateway/src/delivery/attempt.rs
+++ b/crates/bendhinge_gateway/src/delivery/attempt.rs
@@ -321,7 +321,7 @@
     }
 
     /// Records the availability that an upstream reports, in response to a caller's request or, if
-    /// `request_id` is `None`, to a request of this router.
+    /// `request_id` is `None`, to a request of this gateway.
     pub(crate) fn record_availability(
         &self,
         request_id: Option<&str>,
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -206,7 +206,7 @@
 /// Returns the retry delay for a request to a pool without available upstreams: a retry before the next
 /// upstream list would fail again.
 fn delay_until_next_list() -> Duration {
-    /// Upstream lists are read every 0.7 s and reach all routers within the same time again.
+    /// Upstream lists are read every 0.7 s and reach all gateways within the same time again.
     const DELAY_RANGE_MS: std::ops::Range<u64> = 700..1_400;
     Duration::from_millis(rand::rng().random_range(DELAY_RANGE_MS))
 }
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Starts a send to the best upstream. `may_probe` says whether it may be the probe request of an ejected
+    /// Starts a send to the best upstream. `may_probe` is whether it may be the probe request of an ejected
     /// upstream.
     fn start_send(
         &mut self,
@@ -297,7 +297,7 @@
         let (result, mut other) = race(first, second).await;
         match result {
             Ok(response) => {
-                // The hedge request is not late just because the first one was answered before it.
+                // The hedge request is not late just because the response to the first one arrived before.
                 let is_later = other.record.number > response.record.number;
                 let end = if is_later { SendOutcome::Superseded } else { SendOutcome::TimedOut };
                 self.record_send_end(&other.record, end);
@@ -362,7 +362,7 @@
         }
     }
 
-    /// Returns the error that tells the caller to retry later, unless the request may have run.
+    /// Returns the error that asks the caller to retry later, unless the request may have run.
     fn retry_later(&self, code: ResultCode, retry_after: Duration) -> DeliveryError {
         match self.course.ran() {
             bendhinge_codes::Ran::No => DeliveryError::RetryLater { code, retry_after },
--- a/crates/bendhinge_gateway/src/delivery/race.rs
+++ b/crates/bendhinge_gateway/src/delivery/race.rs
@@ -24,7 +24,7 @@
     pub(super) upstream: Arc<UpstreamEntry>,
     /// When the upstream was chosen.
     pub(super) started_at: Instant,
-    /// Reports the send to other routers if the request is tracked by the quarantine.
+    /// Reports the send to other gateways if the request is tracked by the quarantine.
     _tracked: Option<Arc<TrackedSend>>,
 }
 
--- a/crates/bendhinge_gateway/src/dialect.rs
+++ b/crates/bendhinge_gateway/src/dialect.rs
@@ -334,8 +334,8 @@
 pub trait StoreDialect {
     /// Returns the path of the first page of `part`, or of the page that starts after a key.
     fn page_path(&self, part: StorePart, after: Option<&str>) -> String;
-    /// Parses a page. The rules document may be omitted if its revision is `known`.
-    fn parse_page(&self, body: &[u8], known: Option<Revision>) -> Result<StorePage, ParseError>;
+    /// Parses a page. The rules document may be omitted if its revision is `held_revision`.
+    fn parse_page(&self, body: &[u8], held_revision: Option<Revision>) -> Result<StorePage, ParseError>;
     /// Returns the path of the changes since a revision.
     fn changes_path(&self, since: Revision) -> String;
     /// Parses a list of changes.
--- a/crates/bendhinge_gateway/src/intake/mod.rs
+++ b/crates/bendhinge_gateway/src/intake/mod.rs
@@ -24,7 +24,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::state::ActiveRules;
 
-/// A request that is answered by the router itself, with what the caller is told.
+/// A request that the gateway answers itself, with the response for the caller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refusal {
     pub(crate) code: ResultCode,
@@ -194,7 +194,7 @@
     }
 }
 
-/// Returns a number in `[0, 1)` for the traffic split, which is equal for equal request IDs on all routers.
+/// Returns a number in `[0, 1)` for the traffic split, which is equal for equal request IDs on all gateways.
 fn split_point(fields: &RequestFields) -> f64 {
     match &fields.id {
         Some(id) => hash_to_fraction(xxh3_64(id.as_bytes())),
--- a/crates/bendhinge_gateway/src/lib.rs
+++ b/crates/bendhinge_gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! A gateway that routes requests of callers by host and path to upstreams and passes their answers back.
+//! A gateway that routes requests of callers by host and path to upstreams and passes their responses back.
 //!
 //! Each module owns its state; `run` wires them together:
 //!
 //! * `intake`: receives and admits requests of callers,
-//! * `delivery`: sends requests to upstreams, with retries, and relays the answer,
+//! * `delivery`: sends requests to upstreams, with retries, and relays the response,
 //! * `quarantine`: blocks requests that crash upstreams,
 //! * `state`: replicas of the serving rules and of the list of upstreams, with their ages,
 //! * `control`: communication with the other gateways and the platform's store,
--- a/crates/bendhinge_gateway/src/lifecycle.rs
+++ b/crates/bendhinge_gateway/src/lifecycle.rs
@@ -63,7 +63,7 @@
     /// period ends.
     pub(crate) async fn wait_until_drained(&self) {
         const POLL_INTERVAL: Duration = Duration::from_millis(20);
-        /// Part of the grace period that is reserved for writing the last answers.
+        /// Part of the grace period that is reserved for writing the last responses.
         const WRITE_MARGIN: Duration = Duration::from_millis(400);
         Timer::after(self.settings.accept_period).await;
         let remaining = self.settings.grace_period.saturating_sub(self.settings.accept_period + WRITE_MARGIN);
--- a/crates/bendhinge_gateway/src/log/mod.rs
+++ b/crates/bendhinge_gateway/src/log/mod.rs
@@ -222,7 +222,7 @@
         self.log_event("rest_asked", Fields { request, upstream: upstream.as_str(), rest_ms, spared_ms });
     }
 
-    /// Logs the first answer in which an upstream announced that it is draining.
+    /// Logs the first response in which an upstream announced that it is draining.
     pub(crate) fn drain_announced(&self, request: Option<&str>, upstream: &UpstreamName) {
         #[derive(Serialize)]
         struct Fields<'a> {
@@ -283,7 +283,7 @@
         self.log_event("suspicion_over", Fields { digest: digest.to_string(), why, crashes });
     }
 
-    /// Logs that a caller's connection was closed because the caller did not read its answer.
+    /// Logs that a caller's connection was closed because the caller did not read its response.
     pub(crate) fn slow_caller_disconnected(&self, caller: SocketAddr) {
         #[derive(Serialize)]
         struct Fields {
--- a/crates/bendhinge_gateway/src/log/request.rs
+++ b/crates/bendhinge_gateway/src/log/request.rs
@@ -83,7 +83,7 @@
         self.digest = Some(digest);
     }
 
-    /// Records how a send ended whose answer is not passed on.
+    /// Records how a send ended whose response is not passed on.
     pub(crate) fn record_send_end(&mut self, index: usize, end: SendOutcome) {
         if let Some(send) = self.sends.get_mut(index) {
             send.end = Some(end.as_str());
@@ -126,7 +126,7 @@
         log.log_event("request", fields);
     }
 
-    /// Writes the line of a request that got an answer from an upstream or a refusal.
+    /// Writes the line of a request that got a response from an upstream or a refusal.
     pub(crate) fn write_answered(
         &mut self,
         log: &Log,
--- a/crates/bendhinge_gateway/src/metrics.rs
+++ b/crates/bendhinge_gateway/src/metrics.rs
@@ -189,12 +189,12 @@
         self.requests.add(1, &[]);
     }
 
-    /// Counts an answer that the gateway generated itself.
+    /// Counts a response that the gateway generated itself.
     pub(crate) fn count_result(&self, code: ResultCode) {
         self.results.add(1, &[KeyValue::new("code", code.to_string())]);
     }
 
-    /// Counts a send whose answer is not passed on.
+    /// Counts a send whose response is not passed on.
     pub(crate) fn count_send_end(&self, end: SendOutcome) {
         self.send_ends.add(1, &[KeyValue::new("end", end.as_str())]);
     }
@@ -252,17 +252,17 @@
         self.suspected_upstreams.add(1, &[]);
     }
 
-    /// Counts an answer in which an upstream requested a backoff.
+    /// Counts a response in which an upstream requested a backoff.
     pub(crate) fn count_backoff_request(&self) {
         self.backoff_requests.add(1, &[]);
     }
 
-    /// Counts a connection closed because the caller did not read its answer.
+    /// Counts a connection closed because the caller did not read its response.
     pub(crate) fn count_slow_caller_disconnect(&self) {
         self.slow_caller_disconnects.add(1, &[]);
     }
 
-    /// Counts an upstream that announced in an answer that it is draining.
+    /// Counts an upstream that announced in a response that it is draining.
     pub(crate) fn count_drain_announcement(&self) {
         self.drain_announcements.add(1, &[]);
     }
@@ -272,7 +272,7 @@
         self.foreign_entries.record(count as u64, &[]);
     }
 
-    /// Records the time to the head of an answer.
+    /// Records the time to the head of a response.
     pub(crate) fn record_first_byte(&self, time: Duration) {
         self.first_byte.record(time.as_secs_f64(), &[]);
     }
--- a/crates/bendhinge_gateway/src/pacing.rs
+++ b/crates/bendhinge_gateway/src/pacing.rs
@@ -1,4 +1,4 @@
-//! Paces the requests of this router to pools of upstreams that do not report their load.
+//! Paces the requests of this gateway to pools of upstreams that do not report their load.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 use crate::log::Log;
 
-/// The pacers of this router, one for each pool.
+/// The pacers of this gateway, one for each pool.
 pub(crate) struct Pacing {
     pacers: Mutex<FxHashMap<PoolName, Pacer>>,
     log: Log,
--- a/crates/bendhinge_gateway/src/quarantine.rs
+++ b/crates/bendhinge_gateway/src/quarantine.rs
@@ -26,7 +26,7 @@
 /// A change that is to be sent to peers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QuarantineChange {
-    /// The origin of the change: `Store` if this router observed it, otherwise a peer.
+    /// The origin of the change: `Store` if this gateway observed it, otherwise a peer.
     pub(crate) origin: Origin,
     /// Whether the change may affect the next send of the request and must be sent without delay.
     pub(crate) is_urgent: bool,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The quarantine of this router, shared between its tasks.
+/// The quarantine of this gateway, shared between its tasks.
 pub(crate) struct SharedQuarantine {
     state: Mutex<Quarantine>,
     changes: Sender<QuarantineChange>,
@@ -87,7 +87,7 @@
 
 impl SharedQuarantine {
     /// Creates an empty quarantine and the receiver of its changes. `local_address` is the address at which
-    /// peers reach this router.
+    /// peers reach this gateway.
     pub(crate) fn new(local_address: SocketAddr, log: Log) -> (Self, Receiver<QuarantineChange>) {
         let (changes, receiver) = bounded(MAX_QUEUED_CHANGES);
         (Self { state: Mutex::new(Quarantine::new(address_hash(local_address))), changes, log }, receiver)
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Merges the crash histories that the router at `from` reported; their ages are relative to `as_of`.
+    /// Merges the crash histories that the gateway at `from` reported; their ages are relative to `as_of`.
     pub(crate) fn merge_reported(
         &self,
         histories: &[ObservedCrashHistory],
@@ -208,13 +208,13 @@
         }
     }
 
-    /// Whether there are changes to send to the router at `recipient`, see [`SharedQuarantine::changes_for`].
+    /// Whether there are changes to send to the gateway at `recipient`, see [`SharedQuarantine::changes_for`].
     pub(crate) fn has_changes_for(&self, recipient: SocketAddr, since: Instant, forwards: bool) -> bool {
         self.state.lock().unwrap().changes_for(update_source(recipient), since, forwards).next().is_some()
     }
 
-    /// Returns the changes after `since` to send to the router at `recipient`, including those received from
-    /// peers if this router `forwards`.
+    /// Returns the changes after `since` to send to the gateway at `recipient`, including those received from
+    /// peers if this gateway `forwards`.
     pub(crate) fn changes_for(
         &self,
         recipient: SocketAddr,
@@ -227,7 +227,7 @@
         histories.map(|(request, history)| ObservedCrashHistory::new(request, history, now)).collect()
     }
 
-    /// Returns the histories to send to a router with the digest `remote_digest`; empty if the digests are
+    /// Returns the histories to send to a gateway with the digest `remote_digest`; empty if the digests are
     /// equal.
     pub(crate) fn histories_to_sync(&self, remote_digest: u64, now: Instant) -> Vec<ObservedCrashHistory> {
         let state = self.state.lock().unwrap();
@@ -236,7 +236,7 @@
         histories.map(|(request, history)| ObservedCrashHistory::new(request, history, now)).collect()
     }
 
-    /// Returns a digest that is equal for routers with equal crash histories.
+    /// Returns a digest that is equal for gateways with equal crash histories.
     pub(crate) fn digest(&self) -> u64 {
         self.state.lock().unwrap().digest()
     }
--- a/crates/bendhinge_gateway/src/ready.rs
+++ b/crates/bendhinge_gateway/src/ready.rs
@@ -12,7 +12,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::metrics::GaugeValues;
 
-/// How long after the end of their lease the rules may be unconfirmed before the router reports that it is
+/// How long after the end of their lease the rules may be unconfirmed before the gateway reports that it is
 /// not ready.
 const LEASE_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
@@ -38,7 +38,7 @@
             && self.context.upstreams.has_list_or_partial()
     }
 
-    fn measured_now(&self) -> GaugeValues {
+    fn current_gauges(&self) -> GaugeValues {
         GaugeValues {
             in_progress: self.lifecycle.in_progress(),
             rules_age: self.context.rules.age(bendhinge_clock::now()),
@@ -51,7 +51,7 @@
 
     pub(crate) fn handle(&self, request: &Request<Incoming>) -> Response<Body> {
         if request.uri().path() == METRICS_PATH {
-            return Response::new(full_body(self.context.metrics.encode_text(&self.measured_now())));
+            return Response::new(full_body(self.context.metrics.encode_text(&self.current_gauges())));
         }
         if request.uri().path() == QUARANTINE_PATH {
             return Response::new(full_body(self.context.quarantine.to_json()));
--- a/crates/bendhinge_gateway/src/retries.rs
+++ b/crates/bendhinge_gateway/src/retries.rs
@@ -1,4 +1,4 @@
-//! Keeps this router's share of the fleet-wide retry budget.
+//! Keeps this gateway's share of the fleet-wide retry budget.
 
 use std::sync::Mutex;
 
@@ -7,23 +7,23 @@
 use rand::Rng;
 use rustc_hash::FxHashMap;
 
-/// Retry budgets of this router, one for each pool.
+/// Retry budgets of this gateway, one for each pool.
 pub(crate) struct RetryBudgets {
     fleet_budget: FleetRetryBudget,
-    /// A random seed, which differs between routers.
+    /// A random seed, which differs between gateways.
     seed: u64,
     state: Mutex<BudgetState>,
 }
 
 struct BudgetState {
-    /// This router's share of the retries that do not depend on the request rate.
+    /// This gateway's share of the retries that do not depend on the request rate.
     base_share: f64,
     by_pool: FxHashMap<PoolName, RouterRetryBudget>,
 }
 
 impl RetryBudgets {
     pub(crate) fn new(fleet_budget: FleetRetryBudget) -> Self {
-        /// The share until the number of routers is known.
+        /// The share until the number of gateways is known.
         const INITIAL_BASE_SHARE: f64 = 1.0;
         let state = BudgetState { base_share: INITIAL_BASE_SHARE, by_pool: FxHashMap::default() };
         Self { fleet_budget, seed: rand::rng().random(), state: Mutex::new(state) }
@@ -47,9 +47,9 @@
         self.state.lock().unwrap().by_pool.get_mut(pool).is_some_and(|budget| budget.try_retry(now))
     }
 
-    /// Divides the fleet-wide budget among `router_count` routers.
-    pub(crate) fn set_router_count(&self, router_count: usize) {
-        let base_share = self.fleet_budget.base_share(router_count);
+    /// Divides the fleet-wide budget among `gateway_count` gateways.
+    pub(crate) fn set_gateway_count(&self, gateway_count: usize) {
+        let base_share = self.fleet_budget.base_share(gateway_count);
         let mut state = self.state.lock().unwrap();
         state.base_share = base_share;
         state.by_pool.values_mut().for_each(|budget| budget.set_base_share(base_share));
--- a/crates/bendhinge_gateway/src/run.rs
+++ b/crates/bendhinge_gateway/src/run.rs
@@ -34,7 +34,7 @@
 /// How long an idle connection of a caller stays open. Longer than any idle timeout of callers, so that the
 /// gateway does not close a connection on which a request is in transit.
 const CALLER_IDLE_TIMEOUT: Duration = Duration::from_mins(2);
-/// Delay before the process exits, for the last answers and log lines to be written.
+/// Delay before the process exits, for the last responses and log lines to be written.
 const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
 /// Error while starting a gateway.
@@ -104,7 +104,7 @@
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(StartError::Signals)?;
     let lifecycle = Arc::new(Lifecycle::new(settings.stop));
     let (quarantine, suspicions) = SharedQuarantine::new(settings.peer_address, log.clone());
-    let delivering = Arc::new(DeliveryContext {
+    let context = Arc::new(DeliveryContext {
         dialect,
         rules: Arc::new(RulesReplica::new(settings.rules)),
         upstreams: Arc::new(UpstreamView::new(
@@ -127,18 +127,13 @@
         metrics: Metrics::new()?,
         max_response_bytes: settings.upstreams.max_answer_bytes,
     });
-    let caller_server = serve_callers(&settings, &delivering, &lifecycle).await?;
+    let caller_server = serve_callers(&settings, &context, &lifecycle).await?;
     let traffic = Arc::new(TrafficCounters::default());
-    let _readiness_server = serve_readiness(&settings, &delivering, &lifecycle, &traffic).await?;
+    let _readiness_server = serve_readiness(&settings, &context, &lifecycle, &traffic).await?;
     let (peer_listener, address) = listen_to_peers(settings.peer_address, &log).await?;
     settings.peer_address = address;
-    let control = ControlPlane::new(
-        settings.clone(),
-        Arc::clone(&delivering),
-        Arc::clone(&lifecycle),
-        traffic,
-        executor,
-    );
+    let control =
+        ControlPlane::new(settings.clone(), Arc::clone(&context), Arc::clone(&lifecycle), traffic, executor);
     control.start(peer_listener, suspicions);
     log.process_event("started", settings.name.as_str(), env!("CARGO_PKG_VERSION"));
     wait_for_stop_signal(signals, path, &control, &log).await;
@@ -181,17 +176,17 @@
     name: &str,
     address: SocketAddr,
     limits: ServeLimits,
-    delivering: &DeliveryContext,
+    context: &DeliveryContext,
 ) -> Result<Server, StartError> {
     let listen_error = |error| StartError::Listen { address, error };
-    let server = Server::bind(address, limits, Arc::clone(&delivering.tasks)).await.map_err(listen_error)?;
-    delivering.log.listening(name, server.local_addr().map_err(listen_error)?);
+    let server = Server::bind(address, limits, Arc::clone(&context.tasks)).await.map_err(listen_error)?;
+    context.log.listening(name, server.local_addr().map_err(listen_error)?);
     Ok(server)
 }
 
 async fn serve_callers(
     settings: &Settings,
-    delivering: &Arc<DeliveryContext>,
+    context: &Arc<DeliveryContext>,
     lifecycle: &Arc<Lifecycle>,
 ) -> Result<StopHandle, StartError> {
     /// The maximum size of a request's head; above any limit that callers are given.
@@ -202,31 +197,31 @@
         max_connections: settings.max_connections,
         ..ServeLimits::default()
     };
-    let recorder = Arc::clone(delivering);
+    let recorder = Arc::clone(context);
     let on_unread_answer = Arc::new(move |caller| {
         recorder.metrics.count_slow_caller_disconnect();
         recorder.log.slow_caller_disconnected(caller);
     });
-    let server = bind_server("callers", settings.caller_address, limits, delivering)
+    let server = bind_server("callers", settings.caller_address, limits, context)
         .await?
         .on_write_timeout(on_unread_answer);
     let stop = server.stop_handle();
-    let intake = Arc::new(Intake { context: Arc::clone(delivering), lifecycle: Arc::clone(lifecycle) });
+    let intake = Arc::new(Intake { context: Arc::clone(context), lifecycle: Arc::clone(lifecycle) });
     let serving = server.run(move |request| intake::handle(Arc::clone(&intake), request));
-    delivering.tasks.spawn(serving).detach();
+    context.tasks.spawn(serving).detach();
     Ok(stop)
 }
 
 async fn serve_readiness(
     settings: &Settings,
-    delivering: &Arc<DeliveryContext>,
+    context: &Arc<DeliveryContext>,
     lifecycle: &Arc<Lifecycle>,
     traffic: &Arc<TrafficCounters>,
 ) -> Result<StopHandle, StartError> {
-    let server = bind_server("ready", settings.readiness_address, ServeLimits::default(), delivering).await?;
+    let server = bind_server("ready", settings.readiness_address, ServeLimits::default(), context).await?;
     let stop = server.stop_handle();
     let readiness = Arc::new(Readiness {
-        context: Arc::clone(delivering),
+        context: Arc::clone(context),
         lifecycle: Arc::clone(lifecycle),
         traffic: Arc::clone(traffic),
         lease: settings.rules.lease,
@@ -235,6 +230,6 @@
         let readiness = Arc::clone(&readiness);
         async move { readiness.handle(&request) }
     });
-    delivering.tasks.spawn(serving).detach();
+    context.tasks.spawn(serving).detach();
     Ok(stop)
 }
--- a/crates/bendhinge_gateway/src/settings/mod.rs
+++ b/crates/bendhinge_gateway/src/settings/mod.rs
@@ -82,7 +82,7 @@
 pub struct StoreSettings {
     /// The store's address.
     pub address: SocketAddr,
-    /// The time limit for an answer.
+    /// The time limit for a response.
     pub call_timeout: Duration,
     /// When this gateway reads the store.
     pub read_timings: StoreReadTimings,
@@ -97,7 +97,7 @@
     pub seeds: Vec<SocketAddr>,
     /// The interval between exchanges.
     pub exchange_interval: Duration,
-    /// The time limit for an answer of another gateway.
+    /// The time limit for a response of another gateway.
     pub call_timeout: Duration,
     /// When a gateway without contact counts as dead, and when it is removed.
     pub roster_timeouts: RosterTimeouts,
@@ -119,7 +119,7 @@
     pub connect_timeout: Duration,
     /// How long an idle connection is kept open.
     pub idle_timeout: Duration,
-    /// The maximum size of an answer that is not a stream.
+    /// The maximum size of a response that is not a stream.
     pub max_answer_bytes: usize,
     /// Ejection of upstreams that fail.
     pub outlier_limits: OutlierLimits,
--- a/crates/bendhinge_peer/schema/fleet.capnp
+++ b/crates/bendhinge_peer/schema/fleet.capnp
@@ -1,5 +1,5 @@
 @0xd2b7c1a95e604f38;
-# What gateways say to each other. Regenerate src/fleet_capnp.rs as CONTRIBUTING.md says.
+# RPC interface between gateways. CONTRIBUTING.md describes how to regenerate src/fleet_capnp.rs.
 
 struct Known {
   revision @0 :UInt64;
@@ -42,21 +42,21 @@
   witnesses @3 :List(Witness);
 }
 
-# The end of an upstream's process under a request.
+# The crash of an upstream's process while it ran a request.
 struct Crash {
   upstream @0 :UInt64;
   software @1 :UInt64;
   ageMillis @2 :UInt32;
 }
 
-# A gateway's sends of a suspected request.
+# The sends of a suspected request that a gateway has in progress.
 struct UnderWay {
   router @0 :UInt64;
   sends @1 :UInt8;
   ageMillis @2 :UInt32;
 }
 
-# A request under which upstreams crashed, by its digest.
+# A request during which upstreams crashed, identified by its digest.
 struct Suspicion {
   requestHigh @0 :UInt64;
   requestLow @1 :UInt64;
@@ -66,7 +66,7 @@
   underWay @5 :List(UnderWay);
 }
 
-# Up to where the news of one life of a gateway were told; a life of 0 is none.
+# A position in the log of updates of one incarnation of a gateway; a life of 0 means no position.
 struct NewsPosition {
   life @0 :UInt64;
   number @1 :UInt64;
@@ -81,24 +81,24 @@
   reads @5 :List(Read);
   brief @6 :Bool;
   doubts @7 :List(Doubt);
-  # Up to where this message tells of the sender's reads.
+  # The position in the sender's log up to which this message contains its reads.
   told @8 :NewsPosition;
-  # Up to where the sender was told of the receiver's.
+  # The position in the receiver's log up to which the sender has received its reads.
   heard @9 :NewsPosition;
-  # Which members the sender knows; 0 from one that knows no states.
+  # Digest of the members that the sender knows; 0 if the sender does not support member states.
   roster @10 :UInt64;
-  # In place of members and loads, where both ends know the same members, or hold the same list: what
-  # bendhinge_fleet calls MemberStates and LoadStates.
+  # Replace `members` and `loads` if both ends know the same members or hold the same list; encoded
+  # as the compact states of bendhinge_fleet.
   memberStates @11 :Data;
   loadStates @12 :Data;
-  # Whether the sender wants to know of members alone.
+  # Whether the sender requests only the members.
   probe @13 :Bool;
-  # What changed lately of suspected requests, or all that matters of them, and a digest of all that matters.
+  # Recent changes of the quarantine, or all of its current histories, and a digest of the latter.
   suspicions @14 :List(Suspicion);
   quarantine @15 :UInt64;
-  # In place of loadStates where the list is long: what bendhinge_fleet calls HighLoads.
+  # Replaces `loadStates` for long lists; contains only the high loads.
   highLoads @16 :Data;
-  # Whether the sender holds a part of a list of upstreams, and no whole one yet.
+  # Whether the sender holds a part of an upstream list but no complete one.
   begun @17 :Bool;
 }
 
@@ -111,34 +111,34 @@
   slots @5 :UInt32;
   draining @6 :Bool;
   made @7 :UInt64;
-  # What was left of its warm-up when it said so, and the revision at which it did; 0 is no warm-up.
+  # The rest of the warm-up that the upstream reported, and the revision of that report; 0 means no warm-up.
   warmUpLeftMillis @8 :UInt32;
   warmUpSaid @9 :UInt64;
-  # When its process started, in milliseconds since 1970, and a hash of what it runs; 0 if it does not say.
+  # The start time of its process in milliseconds since the Unix epoch, and a hash of its software; 0 if not reported.
   born @10 :UInt64;
   software @11 :UInt64;
 }
 
-# A document as it was when it was asked for.
+# A snapshot of a document at the time of the request.
 interface Document {
   read @0 (offset :UInt32) -> (bytes :Data);
 }
 
 interface Fleet {
   exchange @0 (message :PeerMessage) -> (message :PeerMessage);
-  # In pieces: `document` is the first of `length` bytes, the others are read from `rest`. A length of
-  # 0 says that the document is whole.
+  # With `inPieces`, `document` is the first chunk of `length` bytes and the others are read from `rest`.
+  # A length of 0 means that `document` is complete.
   rules @1 (inPieces :Bool) -> (known :Known, document :Data, length :UInt32, rest :Document);
-  # Against the list of which the asker gives the digest, if it is remembered: `list` holds what is new or
-  # differs and `gone` the hashes of names that are not listed any more, and `base` is that digest. Else `base` is 0
-  # and the list is whole. `drained` names all data centres that are drained, in both cases.
-  # A whole list comes in pieces if `inPieces`: this is the first of `length` entries, the others are read by `listPiece`.
-  # A length of 0 says that the list is whole.
+  # Returns a delta relative to the list with the digest `base` if it is still retained: `list` contains the new
+  # and changed entries, `gone` the hashes of the names that were removed, and the returned `base` is that digest.
+  # Otherwise `base` is 0 and the list is complete. `drained` names all drained data centres in both cases.
+  # With `inPieces`, a complete list is returned in chunks: `list` is the first chunk of `length` entries, and
+  # `listPiece` returns the others. A length of 0 means that `list` is complete.
   upstreams @2 (base :UInt64, inPieces :Bool) -> (known :Known, list :List(Upstream), base :UInt64, gone :List(UInt64), drained :List(Text), length :UInt32);
-  # Of the parts whose number leaves `page` when divided by `pages`; 0 pages are one.
+  # Returns the reads of the parts whose hash modulo `pages` is `page`; 0 pages mean one page.
   reads @3 (page :UInt32, pages :UInt32) -> (reads :List(Read), informed :Bool);
-  # Entries of the list with this digest from the one at `from` on; none if the list is not remembered any more.
+  # Returns entries of the list with this digest, starting at index `from`; none if the list is no longer retained.
   listPiece @4 (digest :UInt64, from :UInt32) -> (list :List(Upstream));
-  # The part of a list with which one that has just started begins; `drained` as above.
+  # Returns the partial list that a gateway uses after startup until it has a complete one; `drained` as above.
   listPart @5 () -> (list :List(Upstream), drained :List(Text));
 }
--- a/crates/bendhinge_peer/schema/peer.capnp
+++ b/crates/bendhinge_peer/schema/peer.capnp
@@ -1,5 +1,5 @@
 @0xb8e3a94c5d172f60;
-# What routers say to each other. Regenerate src/peer_capnp.rs as CONTRIBUTING.md says.
+# RPC interface between routers. CONTRIBUTING.md describes how to regenerate src/peer_capnp.rs.
 
 struct Summary {
   name @0 :Text;
