--- a/crates/bendhinge_gateway/src/control/exchange.rs
+++ b/crates/bendhinge_gateway/src/control/exchange.rs
@@ -150,11 +150,11 @@
     Some(batch.origin)
 }
 
-/// Exchanges state with a contact. If a relay does not answer, exchanges state with a random member
+/// Exchanges state with a contact. If a relay does not respond, exchanges state with a random member
 /// instead.
 async fn exchange_or_fall_back(control: &Rc<ControlPlane>, contact: Contact) {
     let content = match contact {
-        // These members receive reads and loads from the same peers as this gateway. Sending them
+        // These members receive cached parts and loads from the same peers as this gateway. Sending them
         // here as well would forward some of them as new updates.
         Contact::AlternateRelay(_) | Contact::Random(_) => MessageContent::Probe,
         Contact::Relay(_) | Contact::Reconnect(_) => MessageContent::Full,
@@ -225,7 +225,7 @@
     }
 }
 
-/// Answers the calls of peers.
+/// Serves the calls of peers.
 pub(super) struct PeerRequestHandler(pub(super) Rc<ControlPlane>);
 
 impl FleetService for PeerRequestHandler {
@@ -270,7 +270,7 @@
         self.0
             .is_recovery_done
             .get()
-            .then(|| self.0.context.upstreams.cached_reads(page, bendhinge_clock::now()))
+            .then(|| self.0.context.upstreams.cached_parts_on_page(page, bendhinge_clock::now()))
     }
 
     fn recent_list(&self, digest: u64) -> Option<Arc<UpstreamList>> {
--- a/crates/bendhinge_gateway/src/control/message.rs
+++ b/crates/bendhinge_gateway/src/control/message.rs
@@ -2,7 +2,7 @@
 //!
 //! A message holds only what its receiver is known to lack. Member states and loads are sent in
 //! compact form if both ends know the same members or hold the same list of upstreams, and each
-//! observed read is sent once.
+//! cached part is sent once.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use bendhinge_peer::PeerMessage;
 
 use super::ControlPlane;
-use crate::state::observed_read;
+use crate::state::observed_cached_part;
 
 /// Content of a message to a peer.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -67,11 +67,11 @@
         builder.add_members(&mut message);
     }
     if content == MessageContent::Full {
-        let known_digest = peer.map_or(0, |peer| peer.summary.quarantine_digest);
-        message.crash_histories = quarantine.histories_to_sync(known_digest, now);
+        let peer_digest = peer.map_or(0, |peer| peer.summary.quarantine_digest);
+        message.crash_histories = quarantine.histories_to_sync(peer_digest, now);
         message.failure_evidence = control.context.upstreams.suspicions_for(receiver, now);
         builder.add_loads(&mut message);
-        builder.add_reads(request, &mut message);
+        builder.add_cached_parts(request, &mut message);
     }
     control.context.metrics.count_sent_entries(&message);
     message
@@ -107,7 +107,7 @@
         }
     }
 
-    fn add_reads(&self, request: Option<&PeerMessage>, message: &mut PeerMessage) {
+    fn add_cached_parts(&self, request: Option<&PeerMessage>, message: &mut PeerMessage) {
         let ControlPlane { context, incarnation, .. } = self.control;
         let acknowledged = match request {
             // The request states what its sender has received.
@@ -118,8 +118,9 @@
             None => self.peer.and_then(|peer| peer.acknowledged),
         };
         let batch = context.upstreams.cache_updates_for(self.receiver, acknowledged, self.now);
-        context.metrics.count_dropped_reads(batch.dropped);
-        message.cached_parts = batch.entries.into_iter().map(|read| observed_read(read, self.now)).collect();
+        context.metrics.count_dropped_cached_parts(batch.dropped);
+        message.cached_parts =
+            batch.entries.into_iter().map(|cached| observed_cached_part(cached, self.now)).collect();
         message.sent_position =
             Some(LogPosition { incarnation: *incarnation, sequence: batch.last_sequence });
     }
@@ -135,10 +136,10 @@
     control.peer_states.borrow_mut().record_summary(sender_address, peer_summary(message), now);
     merge_members(control, message, now);
     let upstreams = &control.context.upstreams;
-    // Cached parts, loads, crash histories and failure evidence only guide decisions, so the unknown transit time of an
-    // unsolicited message is ignored for them.
+    // Cached parts, loads, crash histories and failure evidence only guide decisions, so the
+    // unknown transit time of an unsolicited message is ignored for them.
     let as_of = requested_at.unwrap_or(now);
-    upstreams.record_peer_reads(&message.cached_parts, sender_address, as_of);
+    upstreams.record_peer_cached_parts(&message.cached_parts, sender_address, as_of);
     upstreams.record_peer_loads(&message.loads, sender_address, as_of);
     if let (Some(list_loads), Some(held)) = (&message.list_loads, message.upstreams) {
         upstreams.apply_list_loads(list_loads, held.version, sender_address, as_of);
--- a/crates/bendhinge_gateway/src/control/mod.rs
+++ b/crates/bendhinge_gateway/src/control/mod.rs
@@ -60,7 +60,7 @@
     list_fetch: FetchState,
     partial_list_fetch: FetchState,
     executor: Rc<LocalExecutor<'static>>,
-    /// Whether enough is known of the upstreams' caches to answer peers that recover.
+    /// Whether enough is known of the upstreams' caches to serve peers that recover.
     is_recovery_done: Cell<bool>,
 }
 
--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -30,7 +30,7 @@
 /// Maximum number of concurrent queries of upstreams, which bounds the memory used by their
 /// responses.
 const MAX_CONCURRENT_QUERIES: usize = 32;
-/// Number of pages in which a peer's reads are fetched, which bounds the size of each response.
+/// Number of pages in which a peer's cached parts are fetched, which bounds the size of each response.
 const PEER_READ_PAGES: u32 = 8;
 /// Timeout for an upstream to list its cached parts.
 const UPSTREAM_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -71,7 +71,7 @@
         self.roster.borrow().own_rank(self.is_store_failing(), now)
     }
 
-    /// Recovers from the relay or a random member. Returns `false` if neither could answer in full.
+    /// Recovers from the relay or a random member. Returns `false` if neither could send all records.
     async fn recover_from_any_peer(&self) -> bool {
         let store_failing = self.is_store_failing();
         let contacts = self.roster.borrow().contacts(
@@ -90,15 +90,15 @@
     }
 
     /// Recovers from the gateway at `address`, page by page. Returns the number of parts, or `None`
-    /// if the peer is still recovering or did not answer every call.
+    /// if the peer is still recovering or did not respond to every call.
     async fn recover_from_peer(&self, address: SocketAddr) -> Option<usize> {
         let mut parts = 0;
         for index in 0..PEER_READ_PAGES {
             let page = CachedPartsPage { index, count: PEER_READ_PAGES };
-            let reads = self.peers.call(address, async |peer| peer.cached_parts(page).await).await;
-            let reads = reads.ok()??;
-            self.context.upstreams.restore_reads(&reads);
-            parts += reads.len();
+            let cached_parts = self.peers.call(address, async |peer| peer.cached_parts(page).await).await;
+            let cached_parts = cached_parts.ok()??;
+            self.context.upstreams.restore_cached_parts(&cached_parts);
+            parts += cached_parts.len();
         }
         Some(parts)
     }
@@ -120,9 +120,9 @@
         let control = Rc::clone(self);
         let upstream = Arc::clone(upstream);
         self.executor.spawn(async move {
-            let reads = control.query_cached_parts(&upstream).await;
-            control.context.upstreams.restore_reads(&reads);
-            control.context.log.cached_parts_recovered("upstream", upstream.address, reads.len());
+            let cached_parts = control.query_cached_parts(&upstream).await;
+            control.context.upstreams.restore_cached_parts(&cached_parts);
+            control.context.log.cached_parts_recovered("upstream", upstream.address, cached_parts.len());
         })
     }
 
--- a/crates/bendhinge_gateway/src/delivery/crash.rs
+++ b/crates/bendhinge_gateway/src/delivery/crash.rs
@@ -84,7 +84,7 @@
 
 /// Whether the upstream's address refuses connections, which means that its process has ended. Requests in
 /// progress or an idle connection show that it is running; a new connection is made only without these, since
-/// a busy upstream may have none left. An unreachable box does not answer, which is not a crash.
+/// a busy upstream may have none left. An unreachable box does not respond, which is not a crash.
 async fn refuses_connections(context: &DeliveryContext, upstream: &UpstreamEntry) -> bool {
     Timer::after(SOCKET_CLOSE_TIME).await;
     if context.upstreams.has_own_requests(upstream.hash)
--- a/crates/bendhinge_gateway/src/delivery/mod.rs
+++ b/crates/bendhinge_gateway/src/delivery/mod.rs
@@ -171,7 +171,7 @@
         return Err(Refusal::with_retry_after(ResultCode::AllUpstreamsAtBound, retry_after));
     }
     context.metrics.count_request();
-    let course = RetryState::new(bendhinge_delivery::RetryPolicy {
+    let retry_state = RetryState::new(bendhinge_delivery::RetryPolicy {
         repeatable: inbound.route.kind.is_retryable(),
         max_attempts: inbound.route.max_attempts,
     });
@@ -180,7 +180,7 @@
     let mut delivery = Delivery {
         context: Arc::clone(context),
         inbound,
-        course,
+        retry_state,
         is_paced,
         tried_upstreams: Vec::new(),
         log_line,
@@ -190,11 +190,21 @@
         Ok(response) => Ok(delivery.into_response(response, in_progress)),
         Err(DeliveryError::ErrorResponse(response)) => Ok(delivery.error_response(*response)),
         Err(DeliveryError::RetryLater { code, retry_after }) => {
-            delivery.log_line.write_answered(&context.log, code.http_status(), Some(code), &delivery.course);
+            delivery.log_line.write_answered(
+                &context.log,
+                code.http_status(),
+                Some(code),
+                &delivery.retry_state,
+            );
             Err(Refusal { was_sent: true, ..Refusal::with_retry_after(code, retry_after) })
         }
         Err(DeliveryError::Code(code)) => {
-            delivery.log_line.write_answered(&context.log, code.http_status(), Some(code), &delivery.course);
+            delivery.log_line.write_answered(
+                &context.log,
+                code.http_status(),
+                Some(code),
+                &delivery.retry_state,
+            );
             // Right after the start, the first upstream list is expected within moments.
             let awaits_next_list = code == ResultCode::NoUpstream && context.upstreams.has_list();
             let retry_after = awaits_next_list.then(delay_until_next_list);
@@ -227,7 +237,7 @@
 struct Delivery {
     context: Arc<DeliveryContext>,
     inbound: Arc<InboundRequest>,
-    course: RetryState,
+    retry_state: RetryState,
     /// Whether requests to the pool are paced.
     is_paced: bool,
     tried_upstreams: Vec<NameHash>,
@@ -238,7 +248,7 @@
     /// Sends the request until an upstream's response can be relayed.
     async fn next_response(&mut self, resume_after: Option<&str>) -> Result<UpstreamResponse, DeliveryError> {
         loop {
-            let send = self.start_send(resume_after, self.course.allows_hedge())?;
+            let send = self.start_send(resume_after, self.retry_state.allows_hedge())?;
             match self.await_response(send, resume_after).await {
                 Ok(response) => {
                     self.context.upstreams.record_response(response.chosen.entry.hash);
@@ -262,7 +272,7 @@
     ) -> Result<PendingSend, DeliveryError> {
         let timeout = self.inbound.time_left();
         if timeout.is_zero() {
-            return Err(DeliveryError::Code(self.course.final_code(true)));
+            return Err(DeliveryError::Code(self.retry_state.final_code(true)));
         }
         let tracked = self.track_send()?;
         let chosen = self.choose_upstream(may_probe)?;
@@ -287,7 +297,7 @@
         mut first: PendingSend,
         resume_after: Option<&str>,
     ) -> Result<UpstreamResponse, FailedSend> {
-        if !self.course.allows_hedge() {
+        if !self.retry_state.allows_hedge() {
             return first.result().await;
         }
         if let Some(result) = first.result_within(self.hedge_delay()).await {
@@ -358,21 +368,25 @@
     fn no_upstream_error(&self) -> DeliveryError {
         match self.context.remaining_backoff(&self.inbound) {
             Some(backoff) => self.retry_later(ResultCode::AllUpstreamsRest, backoff),
-            None => DeliveryError::Code(self.course.final_code(false)),
+            None => DeliveryError::Code(self.retry_state.final_code(false)),
         }
     }
 
     /// Returns the error that asks the caller to retry later, unless the request may have run.
     fn retry_later(&self, code: ResultCode, retry_after: Duration) -> DeliveryError {
-        match self.course.ran() {
+        match self.retry_state.ran() {
             bendhinge_codes::Ran::No => DeliveryError::RetryLater { code, retry_after },
-            _ => DeliveryError::Code(self.course.final_code(false)),
+            _ => DeliveryError::Code(self.retry_state.final_code(false)),
         }
     }
 
     /// Returns `code`, which reports that the request did not run, or the final code if it may have run.
     fn code_if_not_run(&self, code: ResultCode) -> ResultCode {
-        if self.course.ran() == bendhinge_codes::Ran::No { code } else { self.course.final_code(false) }
+        if self.retry_state.ran() == bendhinge_codes::Ran::No {
+            code
+        } else {
+            self.retry_state.final_code(false)
+        }
     }
 
     /// Records how a send ended, for the request and for its upstream; returns `false` if no further send may
@@ -402,7 +416,7 @@
         {
             log.upstream_ejected(&upstream.name, end);
         }
-        self.course.record_outcome(end)
+        self.retry_state.record_outcome(end)
     }
 
     /// Records a response for the pacing of the pool.
@@ -426,13 +440,13 @@
         let FailedSend { record, error: SendError { end, error_response } } = failed;
         let may_retry = self.record_send_end(&record, end);
         let is_past_deadline = self.inbound.time_left().is_zero();
-        let is_within_budget = || !self.course.needs_retry_budget() || self.try_retry();
+        let is_within_budget = || !self.retry_state.needs_retry_budget() || self.try_retry();
         if may_retry && !is_past_deadline && is_within_budget() {
             return Ok(());
         }
         Err(match error_response {
             Some(error) if !implies_not_run(error.head.status) => DeliveryError::ErrorResponse(error),
-            _ if is_past_deadline => DeliveryError::Code(self.course.final_code(true)),
+            _ if is_past_deadline => DeliveryError::Code(self.retry_state.final_code(true)),
             _ => self.no_upstream_error(),
         })
     }
@@ -444,7 +458,7 @@
 
     fn error_response(&mut self, response: ErrorResponse) -> Response<Body> {
         let ErrorResponse { mut head, body } = response;
-        self.log_line.write_answered(&self.context.log, head.status.as_u16(), None, &self.course);
+        self.log_line.write_answered(&self.context.log, head.status.as_u16(), None, &self.retry_state);
         headers::prepare_for_caller(&mut head.headers);
         Response::from_parts(head, full_body(body))
     }
@@ -456,7 +470,12 @@
         match body {
             UpstreamBody::Complete(bytes) => {
                 self.record_complete_response();
-                self.log_line.write_answered(&self.context.log, head.status.as_u16(), None, &self.course);
+                self.log_line.write_answered(
+                    &self.context.log,
+                    head.status.as_u16(),
+                    None,
+                    &self.retry_state,
+                );
                 Response::from_parts(head, full_body(bytes))
             }
             UpstreamBody::Stream(body, connection) => {
--- a/crates/bendhinge_gateway/src/delivery/relay.rs
+++ b/crates/bendhinge_gateway/src/delivery/relay.rs
@@ -101,7 +101,7 @@
     fn read_timeout(&self) -> Duration {
         let time_left = self.delivery.inbound.time_left();
         match self.delivery.inbound.route.target_gap {
-            Some(gap) if self.delivery.course.allows_hedge() => time_left.min(gap * MAX_SILENT_GAPS),
+            Some(gap) if self.delivery.retry_state.allows_hedge() => time_left.min(gap * MAX_SILENT_GAPS),
             _ => time_left,
         }
     }
@@ -113,8 +113,8 @@
             self.delivery.context.release_connection(&headers, connection);
         }
         self.delivery.record_complete_response();
-        let Delivery { log_line, context, course, .. } = &mut self.delivery;
-        log_line.write_answered(&context.log, 200, None, course);
+        let Delivery { log_line, context, retry_state, .. } = &mut self.delivery;
+        log_line.write_answered(&context.log, 200, None, retry_state);
         (!rest.is_empty()).then_some(Ok(rest))
     }
 
@@ -145,8 +145,8 @@
     fn truncate(&mut self) -> io::Error {
         self.is_finished = true;
         self.source = None;
-        let Delivery { log_line, context, course, .. } = &mut self.delivery;
-        log_line.write_answered(&context.log, 200, Some(ResultCode::AnswerCutShort), course);
+        let Delivery { log_line, context, retry_state, .. } = &mut self.delivery;
+        log_line.write_answered(&context.log, 200, Some(ResultCode::AnswerCutShort), retry_state);
         io::Error::other("the upstream's event stream was interrupted")
     }
 }
@@ -154,8 +154,8 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         if !self.is_finished {
-            let Delivery { log_line, context, course, .. } = &mut self.delivery;
-            log_line.write_caller_left(&context.log, course);
+            let Delivery { log_line, context, retry_state, .. } = &mut self.delivery;
+            log_line.write_caller_left(&context.log, retry_state);
         }
     }
 }
--- a/crates/bendhinge_gateway/src/log/mod.rs
+++ b/crates/bendhinge_gateway/src/log/mod.rs
@@ -147,7 +147,7 @@
         &self,
         what: ReplicaKind,
         from: SocketAddr,
-        took: Duration,
+        duration: Duration,
         error: &CallError,
     ) {
         #[derive(Serialize)]
@@ -157,7 +157,8 @@
             ms: u64,
             error: String,
         }
-        let fields = Fields { what: what.as_str(), from, ms: whole_millis(took), error: error.to_string() };
+        let fields =
+            Fields { what: what.as_str(), from, ms: whole_millis(duration), error: error.to_string() };
         self.log_event("fetch_failed", fields);
     }
 
--- a/crates/bendhinge_gateway/src/log/request.rs
+++ b/crates/bendhinge_gateway/src/log/request.rs
@@ -96,7 +96,7 @@
         outcome: &str,
         status: u16,
         code: Option<ResultCode>,
-        course: &RetryState,
+        retry_state: &RetryState,
     ) {
         #[derive(Serialize)]
         struct Fields<'a> {
@@ -121,7 +121,7 @@
             ms: self.elapsed_ms(),
             digest: self.digest.map(|digest| digest.to_string()),
             sends: &self.sends,
-            ran: if code.is_none() { "yes" } else { course.ran().as_str() },
+            ran: if code.is_none() { "yes" } else { retry_state.ran().as_str() },
         };
         log.log_event("request", fields);
     }
@@ -132,13 +132,13 @@
         log: &Log,
         status: u16,
         code: Option<ResultCode>,
-        course: &RetryState,
+        retry_state: &RetryState,
     ) {
-        self.write(log, "answered", status, code, course);
+        self.write(log, "answered", status, code, retry_state);
     }
 
     /// Writes the line of a request whose caller disconnected.
-    pub(crate) fn write_caller_left(&mut self, log: &Log, course: &RetryState) {
-        self.write(log, "caller_left", 0, None, course);
+    pub(crate) fn write_caller_left(&mut self, log: &Log, retry_state: &RetryState) {
+        self.write(log, "caller_left", 0, None, retry_state);
     }
 }
--- a/crates/bendhinge_gateway/src/metrics.rs
+++ b/crates/bendhinge_gateway/src/metrics.rs
@@ -67,7 +67,7 @@
     list_age: Histogram<f64>,
     exchanges: Counter<u64>,
     sent_entries: Counter<u64>,
-    dropped_reads: Counter<u64>,
+    dropped_cached_parts: Counter<u64>,
     suspected_upstreams: Counter<u64>,
     backoff_requests: Counter<u64>,
     drain_announcements: Counter<u64>,
@@ -122,7 +122,7 @@
                 "bendhinge.gateway.peer_told",
                 "Entries of messages to other gateways, by kind: what a message is made of",
             ),
-            dropped_reads: counter(
+            dropped_cached_parts: counter(
                 "bendhinge.gateway.reads_not_told",
                 "Reads of which another gateway was not told in time",
             ),
@@ -200,13 +200,13 @@
     }
 
     /// Records the duration of a read of the store.
-    pub(crate) fn record_store_read(&self, time: Duration, answered: bool) {
-        self.store_reads.record(time.as_secs_f64(), &[result_label(answered)]);
+    pub(crate) fn record_store_read(&self, time: Duration, succeeded: bool) {
+        self.store_reads.record(time.as_secs_f64(), &[result_label(succeeded)]);
     }
 
     /// Records the duration of a fetch of a replica from another gateway.
-    pub(crate) fn record_peer_fetch(&self, what: ReplicaKind, time: Duration, answered: bool) {
-        let labels = [KeyValue::new("what", what.as_str()), result_label(answered)];
+    pub(crate) fn record_peer_fetch(&self, what: ReplicaKind, time: Duration, succeeded: bool) {
+        let labels = [KeyValue::new("what", what.as_str()), result_label(succeeded)];
         self.peer_fetches.record(time.as_secs_f64(), &labels);
     }
 
@@ -216,8 +216,8 @@
     }
 
     /// Counts an exchange with another gateway.
-    pub(crate) fn count_exchange(&self, answered: bool) {
-        self.exchanges.add(1, &[result_label(answered)]);
+    pub(crate) fn count_exchange(&self, succeeded: bool) {
+        self.exchanges.add(1, &[result_label(succeeded)]);
     }
 
     /// Counts the entries of a message to another gateway, by kind.
@@ -240,10 +240,10 @@
         }
     }
 
-    /// Counts reads that were dropped before another gateway was informed of them.
-    pub(crate) fn count_dropped_reads(&self, count: u64) {
+    /// Counts cached parts that were dropped before another gateway was informed of them.
+    pub(crate) fn count_dropped_cached_parts(&self, count: u64) {
         if count > 0 {
-            self.dropped_reads.add(count, &[]);
+            self.dropped_cached_parts.add(count, &[]);
         }
     }
 
@@ -291,6 +291,6 @@
     }
 }
 
-fn result_label(answered: bool) -> KeyValue {
-    KeyValue::new("result", if answered { "answered" } else { "failed" })
+fn result_label(succeeded: bool) -> KeyValue {
+    KeyValue::new("result", if succeeded { "answered" } else { "failed" })
 }
--- a/crates/bendhinge_gateway/src/run.rs
+++ b/crates/bendhinge_gateway/src/run.rs
@@ -125,7 +125,7 @@
         tasks: Arc::clone(tasks),
         log: log.clone(),
         metrics: Metrics::new()?,
-        max_response_bytes: settings.upstreams.max_answer_bytes,
+        max_response_bytes: settings.upstreams.max_response_bytes,
     });
     let caller_server = serve_callers(&settings, &context, &lifecycle).await?;
     let traffic = Arc::new(TrafficCounters::default());
@@ -198,13 +198,13 @@
         ..ServeLimits::default()
     };
     let recorder = Arc::clone(context);
-    let on_unread_answer = Arc::new(move |caller| {
+    let on_write_timeout = Arc::new(move |caller| {
         recorder.metrics.count_slow_caller_disconnect();
         recorder.log.slow_caller_disconnected(caller);
     });
     let server = bind_server("callers", settings.caller_address, limits, context)
         .await?
-        .on_write_timeout(on_unread_answer);
+        .on_write_timeout(on_write_timeout);
     let stop = server.stop_handle();
     let intake = Arc::new(Intake { context: Arc::clone(context), lifecycle: Arc::clone(lifecycle) });
     let serving = server.run(move |request| intake::handle(Arc::clone(&intake), request));
--- a/crates/bendhinge_gateway/src/settings/mod.rs
+++ b/crates/bendhinge_gateway/src/settings/mod.rs
@@ -120,7 +120,7 @@
     /// How long an idle connection is kept open.
     pub idle_timeout: Duration,
     /// The maximum size of a response that is not a stream.
-    pub max_answer_bytes: usize,
+    pub max_response_bytes: usize,
     /// Ejection of upstreams that fail.
     pub outlier_limits: OutlierLimits,
     /// Removal of upstreams that are no longer listed.
@@ -283,7 +283,7 @@
         const MAX_STALENESS: Duration = Duration::from_millis(2_500);
         let connect_timeout = self.0.millis(section, "connect_ms");
         let idle_timeout = self.0.millis(section, "idle_ms");
-        let max_answer_bytes = self.0.byte_count(section, "answer_bytes");
+        let max_response_bytes = self.0.byte_count(section, "answer_bytes");
         let base_ejection = self.0.millis(section, "rest_ms");
         let max_ejection = self.0.millis(section, "longest_rest_ms");
         let removal_grace = self.0.millis(section, "doubt_ms");
@@ -293,7 +293,7 @@
         Some(UpstreamSettings {
             connect_timeout: connect_timeout?,
             idle_timeout: idle_timeout?,
-            max_answer_bytes: max_answer_bytes?,
+            max_response_bytes: max_response_bytes?,
             outlier_limits: OutlierLimits {
                 base_ejection: base_ejection?,
                 max_ejection: max_ejection?,
--- a/crates/bendhinge_gateway/src/state/mod.rs
+++ b/crates/bendhinge_gateway/src/state/mod.rs
@@ -5,6 +5,6 @@
 mod rules;
 mod upstreams;
 
-pub(crate) use peers::{address_hash, observed_read, update_source};
+pub(crate) use peers::{address_hash, observed_cached_part, update_source};
 pub(crate) use rules::{ActiveRules, RulesReplica};
 pub(crate) use upstreams::{ChosenUpstream, PlacementRequest, UpstreamView};
--- a/crates/bendhinge_gateway/src/state/peers.rs
+++ b/crates/bendhinge_gateway/src/state/peers.rs
@@ -109,33 +109,37 @@
     }
 
     /// Returns one page of the prompt parts that upstreams are expected to have cached.
-    pub(crate) fn cached_reads(&self, page: CachedPartsPage, now: Instant) -> Vec<ObservedCachedPart> {
+    pub(crate) fn cached_parts_on_page(
+        &self,
+        page: CachedPartsPage,
+        now: Instant,
+    ) -> Vec<ObservedCachedPart> {
         let state = self.state.lock().unwrap();
         let on_page = state.cached_parts.iter_entries().filter(|cached| page.contains(cached.part));
-        on_page.map(|cached| observed_read(cached, now)).collect()
+        on_page.map(|cached| observed_cached_part(cached, now)).collect()
     }
 
     /// Records cached prompt parts that a peer sent in bulk or an upstream listed. They are not sent on to peers.
-    pub(crate) fn restore_reads(&self, reads: &[ObservedCachedPart]) {
+    pub(crate) fn restore_cached_parts(&self, cached_parts: &[ObservedCachedPart]) {
         let now = bendhinge_clock::now();
         let mut state = self.state.lock().unwrap();
-        for read in reads {
-            state.cached_parts.record(cached_part(read, now));
+        for observed in cached_parts {
+            state.cached_parts.record(cached_part(observed, now));
         }
     }
 
     /// Records cached prompt parts that the gateway at `from` sent in an exchange that began at `started_at`, and
     /// queues new ones for other peers.
-    pub(crate) fn record_peer_reads(
+    pub(crate) fn record_peer_cached_parts(
         &self,
-        reads: &[ObservedCachedPart],
+        cached_parts: &[ObservedCachedPart],
         from: SocketAddr,
         started_at: Instant,
     ) {
         let (now, from) = (bendhinge_clock::now(), update_source(from));
         let mut state = self.state.lock().unwrap();
-        for read in reads {
-            let cached = cached_part(read, started_at);
+        for observed in cached_parts {
+            let cached = cached_part(observed, started_at);
             if state.cached_parts.record(cached) {
                 state.cache_updates.push(cached, from, now);
             }
@@ -172,12 +176,12 @@
     NameHash::of(&address.to_string())
 }
 
-/// Converts an observed read whose age counts from `as_of`.
-fn cached_part(read: &ObservedCachedPart, as_of: Instant) -> CachedPart {
-    CachedPart { part: read.part, upstream: read.upstream, last_used: as_of - read.age }
+/// Converts an observed cached part whose age counts from `as_of`.
+fn cached_part(observed: &ObservedCachedPart, as_of: Instant) -> CachedPart {
+    CachedPart { part: observed.part, upstream: observed.upstream, last_used: as_of - observed.age }
 }
 
 /// Converts a cached prompt part to its form on the wire, which has an age in place of a time.
-pub(crate) fn observed_read(cached: CachedPart, now: Instant) -> ObservedCachedPart {
+pub(crate) fn observed_cached_part(cached: CachedPart, now: Instant) -> ObservedCachedPart {
     ObservedCachedPart { part: cached.part, upstream: cached.upstream, age: now.since(cached.last_used) }
 }
--- a/crates/bendhinge_peer/schema/fleet.capnp
+++ b/crates/bendhinge_peer/schema/fleet.capnp
@@ -135,7 +135,7 @@
   # With `inPieces`, a complete list is returned in chunks: `list` is the first chunk of `length` entries, and
   # `listPiece` returns the others. A length of 0 means that `list` is complete.
   upstreams @2 (base :UInt64, inPieces :Bool) -> (known :Known, list :List(Upstream), base :UInt64, gone :List(UInt64), drained :List(Text), length :UInt32);
-  # Returns the reads of the parts whose hash modulo `pages` is `page`; 0 pages mean one page.
+  # Returns the reads of the parts whose ID modulo `pages` is `page`; 0 pages mean one page.
   reads @3 (page :UInt32, pages :UInt32) -> (reads :List(Read), informed :Bool);
   # Returns entries of the list with this digest, starting at index `from`; none if the list is no longer retained.
   listPiece @4 (digest :UInt64, from :UInt32) -> (list :List(Upstream));
