--- a/crates/bendhinge_gateway/src/control/recovery.rs
+++ b/crates/bendhinge_gateway/src/control/recovery.rs
@@ -30,7 +30,7 @@
 /// Maximum number of concurrent queries of upstreams, which bounds the memory used by their
 /// responses.
 const MAX_CONCURRENT_QUERIES: usize = 32;
-/// Number of pages in which a peer's reads are fetched, which bounds the size of each response.
+/// Number of pages in which a peer's cached parts are fetched, which bounds the size of each response.
 const PEER_READ_PAGES: u32 = 8;
 /// Timeout for an upstream to list its cached parts.
 const UPSTREAM_QUERY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -51,7 +51,7 @@
             if self.recover_from_any_peer().await {
                 return;
             }
-            let Some(upstreams) = self.delivering.upstreams.list() else { continue };
+            let Some(upstreams) = self.context.upstreams.list() else { continue };
             let now = bendhinge_clock::now();
             let view = FleetView {
                 live_routers: self.roster.borrow().live_count(now),
@@ -71,7 +71,7 @@
         self.roster.borrow().own_rank(self.is_store_failing(), now)
     }
 
-    /// Recovers from the relay or a random member. Returns `false` if neither could answer in full.
+    /// Recovers from the relay or a random member. Returns `false` if neither could send all records.
     async fn recover_from_any_peer(&self) -> bool {
         let store_failing = self.is_store_failing();
         let contacts = self.roster.borrow().contacts(
@@ -82,7 +82,7 @@
         );
         for contact in contacts {
             if let Some(parts) = self.recover_from_peer(contact.address()).await {
-                self.delivering.log.cached_parts_recovered("peer", contact.address(), parts);
+                self.context.log.cached_parts_recovered("peer", contact.address(), parts);
                 return true;
             }
         }
@@ -90,24 +90,23 @@
     }
 
     /// Recovers from the gateway at `address`, page by page. Returns the number of parts, or `None`
-    /// if the peer is still recovering or did not answer every call.
+    /// if the peer is still recovering or did not respond to every call.
     async fn recover_from_peer(&self, address: SocketAddr) -> Option<usize> {
         let mut parts = 0;
         for index in 0..PEER_READ_PAGES {
             let page = CachedPartsPage { index, count: PEER_READ_PAGES };
-            let reads = self.peers.call(address, async |peer| peer.cached_parts(page).await).await;
-            let reads = reads.ok()??;
-            self.delivering.upstreams.restore_reads(&reads);
-            parts += reads.len();
+            let cached_parts = self.peers.call(address, async |peer| peer.cached_parts(page).await).await;
+            let cached_parts = cached_parts.ok()??;
+            self.context.upstreams.restore_cached_parts(&cached_parts);
+            parts += cached_parts.len();
         }
         Some(parts)
     }
 
     async fn recover_from_upstreams(self: &Rc<Self>) {
-        let Some(rules) = self.delivering.rules.current() else { return };
+        let Some(rules) = self.context.rules.current() else { return };
         let caches_prompts = |pool: &_| rules.rules.pools.get(pool).is_some_and(|rule| rule.caches_prompts);
-        for batch in
-            self.delivering.upstreams.available_in_pools(caches_prompts).chunks(MAX_CONCURRENT_QUERIES)
+        for batch in self.context.upstreams.available_in_pools(caches_prompts).chunks(MAX_CONCURRENT_QUERIES)
         {
             let tasks: Vec<_> = batch.iter().map(|upstream| self.spawn_upstream_recovery(upstream)).collect();
             for task in tasks {
@@ -121,21 +120,21 @@
         let control = Rc::clone(self);
         let upstream = Arc::clone(upstream);
         self.executor.spawn(async move {
-            let reads = control.query_cached_parts(&upstream).await;
-            control.delivering.upstreams.restore_reads(&reads);
-            control.delivering.log.cached_parts_recovered("upstream", upstream.address, reads.len());
+            let cached_parts = control.query_cached_parts(&upstream).await;
+            control.context.upstreams.restore_cached_parts(&cached_parts);
+            control.context.log.cached_parts_recovered("upstream", upstream.address, cached_parts.len());
         })
     }
 
     async fn query_cached_parts(&self, upstream: &UpstreamEntry) -> Vec<ObservedCachedPart> {
-        let dialect = &self.delivering.dialect;
-        let pool = &self.delivering.connection_pool;
+        let dialect = &self.context.dialect;
+        let pool = &self.context.connection_pool;
         let fetched =
             fetch_path(pool, upstream.address, dialect.cached_parts_path(), UPSTREAM_QUERY_TIMEOUT).await;
         let Ok(Fetched { status, headers, body }) = fetched else { return Vec::new() };
         // If another upstream has taken over the address, the expected one is gone and marking it as
         // unavailable does no harm.
-        self.delivering.record_availability(None, upstream, dialect.parse_availability(status, &headers));
+        self.context.record_availability(None, upstream, dialect.parse_availability(status, &headers));
         if status != StatusCode::OK {
             return Vec::new();
         }
--- a/crates/bendhinge_gateway/src/log/mod.rs
+++ b/crates/bendhinge_gateway/src/log/mod.rs
@@ -147,7 +147,7 @@
         &self,
         what: ReplicaKind,
         from: SocketAddr,
-        took: Duration,
+        duration: Duration,
         error: &CallError,
     ) {
         #[derive(Serialize)]
@@ -157,7 +157,8 @@
             ms: u64,
             error: String,
         }
-        let fields = Fields { what: what.as_str(), from, ms: whole_millis(took), error: error.to_string() };
+        let fields =
+            Fields { what: what.as_str(), from, ms: whole_millis(duration), error: error.to_string() };
         self.log_event("fetch_failed", fields);
     }
 
@@ -222,7 +223,7 @@
         self.log_event("rest_asked", Fields { request, upstream: upstream.as_str(), rest_ms, spared_ms });
     }
 
-    /// Logs the first answer in which an upstream announced that it is draining.
+    /// Logs the first response in which an upstream announced that it is draining.
     pub(crate) fn drain_announced(&self, request: Option<&str>, upstream: &UpstreamName) {
         #[derive(Serialize)]
         struct Fields<'a> {
@@ -283,7 +284,7 @@
         self.log_event("suspicion_over", Fields { digest: digest.to_string(), why, crashes });
     }
 
-    /// Logs that a caller's connection was closed because the caller did not read its answer.
+    /// Logs that a caller's connection was closed because the caller did not read its response.
     pub(crate) fn slow_caller_disconnected(&self, caller: SocketAddr) {
         #[derive(Serialize)]
         struct Fields {
--- a/crates/bendhinge_gateway/src/log/request.rs
+++ b/crates/bendhinge_gateway/src/log/request.rs
@@ -83,7 +83,7 @@
         self.digest = Some(digest);
     }
 
-    /// Records how a send ended whose answer is not passed on.
+    /// Records how a send ended whose response is not passed on.
     pub(crate) fn record_send_end(&mut self, index: usize, end: SendOutcome) {
         if let Some(send) = self.sends.get_mut(index) {
             send.end = Some(end.as_str());
@@ -96,7 +96,7 @@
         outcome: &str,
         status: u16,
         code: Option<ResultCode>,
-        course: &RetryState,
+        retry_state: &RetryState,
     ) {
         #[derive(Serialize)]
         struct Fields<'a> {
@@ -121,24 +121,24 @@
             ms: self.elapsed_ms(),
             digest: self.digest.map(|digest| digest.to_string()),
             sends: &self.sends,
-            ran: if code.is_none() { "yes" } else { course.ran().as_str() },
+            ran: if code.is_none() { "yes" } else { retry_state.ran().as_str() },
         };
         log.log_event("request", fields);
     }
 
-    /// Writes the line of a request that got an answer from an upstream or a refusal.
+    /// Writes the line of a request that got a response from an upstream or a refusal.
     pub(crate) fn write_answered(
         &mut self,
         log: &Log,
         status: u16,
         code: Option<ResultCode>,
-        course: &RetryState,
+        retry_state: &RetryState,
     ) {
-        self.write(log, "answered", status, code, course);
+        self.write(log, "answered", status, code, retry_state);
     }
 
     /// Writes the line of a request whose caller disconnected.
-    pub(crate) fn write_caller_left(&mut self, log: &Log, course: &RetryState) {
-        self.write(log, "caller_left", 0, None, course);
+    pub(crate) fn write_caller_left(&mut self, log: &Log, retry_state: &RetryState) {
+        self.write(log, "caller_left", 0, None, retry_state);
     }
 }
